--- a/crowpier/benchlink.py
+++ b/crowpier/benchlink.py
@@ -102,7 +102,7 @@
     )
 
 
-def settings_of(text: bytes) -> api.Settings:
+def parse_settings(text: bytes) -> api.Settings:
     """The wire's `options` as settings; unknown keys are ignored."""
     try:
         told = json.loads(text)
@@ -248,7 +248,7 @@
         text = self.take_bytes(size)
         self.inbox.pop(instance, None)
         try:
-            self.dispatchers[instance] = Dispatcher(settings_of(text), seed)
+            self.dispatchers[instance] = Dispatcher(parse_settings(text), seed)
         except (ValueError, TypeError, AttributeError) as error:
             raise WireError(f"{error} (instance {instance}, before byte {self.at})") from None
 
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -109,9 +109,9 @@
 def recheck(path: Path, scenario: Scenario) -> int:
     import json
 
-    from crowpier.benchlink import settings_of
+    from crowpier.benchlink import parse_settings
 
-    settings = settings_of(json.dumps(scenario.settings(0)).encode())
+    settings = parse_settings(json.dumps(scenario.settings(0)).encode())
     broken = check(History.read(path).events, settings)
     for one in broken:
         print(f"BROKEN: {one}")
--- a/lab/run.py
+++ b/lab/run.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowpier.benchlink import settings_of
+from crowpier.benchlink import parse_settings
 from crowpier.interface import Settings
 from lab import bank, events, report
 from lab.addresses import free_address
@@ -85,7 +85,7 @@
         self.scenario, self.folder, self.progress = scenario, folder, progress
         self.history = History()
         self.names = [f"d{number}" for number in range(scenario.dispatchers)]
-        self.settings = settings_of(json.dumps(scenario.settings(0)).encode())
+        self.settings = parse_settings(json.dumps(scenario.settings(0)).encode())
         self.chance = random.Random(f"load {scenario.seed}")
         self.specs = {spec.name: spec for spec in scenario.partners}
         self.factors = dict.fromkeys(self.specs, 1.0)
--- a/rushhitch/config/history.py
+++ b/rushhitch/config/history.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from crowpier.benchlink import settings_of
+from crowpier.benchlink import parse_settings
 from crowpier.interface import Settings, Terms
 
 
@@ -37,7 +37,7 @@
             told = json.loads(content)
             history.last = dict(told["last"])
             for since, settings in told["periods"]:
-                made = settings_of(json.dumps(settings).encode())
+                made = parse_settings(json.dumps(settings).encode())
                 history.periods.append(Period(int(since), settings, made))
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"the history of settings makes no sense: {error!r}") from None
--- a/rushhitch/config/platform.py
+++ b/rushhitch/config/platform.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowpier.benchlink import settings_of
+from crowpier.benchlink import parse_settings
 from crowpier.interface import Settings
 from rushhitch.config.own import BadOwn, Own, read_own
 from rushhitch.connection import parse_address
@@ -95,7 +95,7 @@
         get(megabytes, "limits", "disk_mb"),
         get(megabytes, "limits", "memory_mb"),
         get(known_list, "known"),
-        get(lambda told: settings_of(json.dumps(told).encode()), "settings"),
+        get(lambda told: parse_settings(json.dumps(told).encode()), "settings"),
         own,
         get(parse_address, "control", variable="ROUTER_CONTROL")
         if told.get("control") or environ.get("ROUTER_CONTROL")
--- a/tests/lives.py
+++ b/tests/lives.py
@@ -12,7 +12,7 @@
 from test_benchlink import TOLD
 
 from crowpier import Dispatcher
-from crowpier.benchlink import settings_of
+from crowpier.benchlink import parse_settings
 from crowpier.interface import Outcome
 from rushhitch.core import node as node_module
 from rushhitch.core.node import Node
@@ -209,7 +209,7 @@
         settings = json.loads(json.dumps(TOLD))
         settings["categories"] = self.classes
         settings["familyInfo"]["batchByKind"] = [1]
-        told = settings_of(json.dumps(settings).encode())
+        told = parse_settings(json.dumps(settings).encode())
         self.journal = Journal(files.folder, disk, sync, files, outside.time.time, boot=boot)
         partner = self.partner(outside, number)
         self.node = Node(told, Dispatcher(told, 1), self.journal, self.notify, codecs=self.codecs)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -8,7 +8,7 @@
 from test_benchlink import TOLD
 
 from crowpier import Dispatcher
-from crowpier.benchlink import settings_of
+from crowpier.benchlink import parse_settings
 from crowpier.interface import Arrived
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
@@ -77,7 +77,7 @@
 def node_of(tmp_path, heard):
     """A node that only notes what it gives to the decisions."""
     told = json.loads(json.dumps(TOLD)) | {"categories": [BERTH], "tenants": TENANTS}
-    settings = settings_of(json.dumps(told).encode())
+    settings = parse_settings(json.dumps(told).encode())
     node = Node(settings, Dispatcher(settings, 1), Journal(tmp_path, 3e6), lambda *end: None)
     node.listing.destinations[7] = 0.0
     node.note = heard.append
@@ -115,7 +115,7 @@
 
 
 def test_a_message_without_an_allowance_is_never_over_one():
-    settings = settings_of(json.dumps(TOLD | {"tenants": TENANTS}).encode())
+    settings = parse_settings(json.dumps(TOLD | {"tenants": TENANTS}).encode())
     dispatcher = Dispatcher(settings, 1)
     dispatcher.now = 0.0
     assert not any(dispatcher.over_share(2) for _ in range(50))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -14,7 +14,7 @@
 from test_endpoints import Caller
 
 from crowpier import Dispatcher
-from crowpier.benchlink import settings_of
+from crowpier.benchlink import parse_settings
 from crowpier.interface import Arrived, Entry, Outcome
 from rushhitch.connection import Connection
 from rushhitch.core.node import Node
@@ -332,7 +332,7 @@
     what its journal tells then."""
     told = json.loads(json.dumps(TOLD)) | {"categories": [UNSAFE | WORTH]}
     told["familyInfo"]["batchByKind"] = [batch]
-    settings = settings_of(json.dumps(told).encode())
+    settings = parse_settings(json.dumps(told).encode())
     node = Node(settings, Dispatcher(settings, 1), Journal(folder, 3e6), lambda *end: None)
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setblocking(False)
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -17,7 +17,7 @@
 from test_succession import Pair, with_pair
 
 from crowpier import Dispatcher
-from crowpier.benchlink import settings_of
+from crowpier.benchlink import parse_settings
 from crowpier.interface import (
     Arrived,
     AttemptEnded,
@@ -91,7 +91,7 @@
     history = History()
     for since, effect, attempts in ((1, "repeatable", 8), (10, "once", 2), (20, "repeatable", 8)):
         settings = told(effect, attempts)
-        made = settings_of(json.dumps(settings).encode())
+        made = parse_settings(json.dumps(settings).encode())
         history = history.taken({"settings": settings, "name": "n0"}, made, since)
     again = History.read(history.content())
     for number, effect, attempts in ((9, Effect.SAFE, 8), (10, Effect.UNSAFE, 2), (25, Effect.SAFE, 8)):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,7 +9,7 @@
 from doubles import Peer, Program, run
 
 from crowpier import Dispatcher
-from crowpier.benchlink import settings_of
+from crowpier.benchlink import parse_settings
 from crowpier.interface import Arrived, Listed, ListKind, Remembered, State
 from rushhitch.control.bans import Bans
 from rushhitch.core import listing
@@ -33,7 +33,7 @@
         config = program.config()
         if slots is not None:
             config["settings"]["familyInfo"]["workers"] = slots
-        settings = settings_of(json.dumps(config["settings"]).encode())
+        settings = parse_settings(json.dumps(config["settings"]).encode())
         self.journal = Journal(folder / "state", 3e6)
         self.ends, self.answers = asyncio.Queue(), asyncio.Queue()
         self.node = Node(
