--- a/crowpier/benchlink.py
+++ b/crowpier/benchlink.py
@@ -271,7 +271,8 @@
     def read_arrival(self) -> None:
         instance, message, cls, tenant, key, left, _hint, destination, marks = self.take(ARRIVAL)
         self.note(
-            instance, api.Arrived(message, cls, int(destination), left, tenant, key, bool(marks & MARK_AGAIN))
+            instance,
+            api.MessageAccepted(message, cls, int(destination), left, tenant, key, bool(marks & MARK_AGAIN)),
         )
 
     def read_started(self) -> None:
--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -218,7 +218,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
+class MessageAccepted:
     """A message was taken; it must end exactly once, within `left_ms`.
 
     One that an earlier process took comes with the `attempts` it has had, all of which are over. If one may
@@ -368,7 +368,7 @@
 
 Event = (
     Listed
-    | Arrived
+    | MessageAccepted
     | AttemptEnded
     | Dropped
     | ProbeEnded
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -275,7 +275,9 @@
 class Message:
     """A message that was taken and is not over, or still has attempts out."""
 
-    def __init__(self, event: api.Arrived, terms: api.Terms, destination: Destination, now: float) -> None:
+    def __init__(
+        self, event: api.MessageAccepted, terms: api.Terms, destination: Destination, now: float
+    ) -> None:
         cls = terms.cls
         self.id, self.cls, self.destination, self.most = event.message, cls, destination, terms.max_attempts
         self.key = event.key if cls.in_order else 0
@@ -398,7 +400,7 @@
     def take(self, event: api.Event) -> None:
         if isinstance(event, AttemptEnded):
             self.attempt_ended(event)
-        elif isinstance(event, api.Arrived):
+        elif isinstance(event, api.MessageAccepted):
             self.arrived(event)
         elif isinstance(event, api.Listed):
             self.listed(event)
@@ -554,7 +556,7 @@
 
     # Messages
 
-    def arrived(self, event: api.Arrived) -> None:
+    def arrived(self, event: api.MessageAccepted) -> None:
         terms = event.terms
         if terms is None:
             if event.cls >= len(self.settings.classes):
--- a/lab/cold.py
+++ b/lab/cold.py
@@ -328,7 +328,7 @@
         if self.back <= self.now:
             self.asked += CLASSES[cls].worth
         self.owners[number] = index
-        self.feed(index, api.Arrived(number, cls, 1, CLASSES[cls].deadline_ms))
+        self.feed(index, api.MessageAccepted(number, cls, 1, CLASSES[cls].deadline_ms))
 
     def kill(self, index: int, up_at: float) -> None:
         del self.dispatchers[index]
@@ -354,7 +354,9 @@
             ran_ago = None if since is None else self.now - since
             tried = self.attempts.get(number, 0)
             known.append(
-                api.Arrived(number, cls, 1, left, attempts=tried, ran_ago_ms=ran_ago, ran_endpoint=where)
+                api.MessageAccepted(
+                    number, cls, 1, left, attempts=tried, ran_ago_ms=ran_ago, ran_endpoint=where
+                )
             )
         self.start(index, *known)
 
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -250,7 +250,7 @@
         self.fresh.append(message)
         self.fresh_bytes += RECORD_ROOM + size
         self.note(
-            api.Arrived(
+            api.MessageAccepted(
                 message.number,
                 self.classes[offer.cls],
                 offer.destination,
@@ -365,7 +365,7 @@
         age = self.steady() - ran[1] if ran else 0.0
         self.aging[message.number] = self.loop.time()
         self.note(
-            api.Arrived(
+            api.MessageAccepted(
                 message.number,
                 self.classes.get(kept.cls, 0),
                 kept.destination,
@@ -547,7 +547,7 @@
             aging, self.aging = self.aging, {}
             events = [
                 older(event, (now - aging[event.message]) * 1000.0)
-                if isinstance(event, api.Arrived) and event.message in aging
+                if isinstance(event, api.MessageAccepted) and event.message in aging
                 else event
                 for event in events
             ]
@@ -871,7 +871,7 @@
         return False
 
 
-def older(event: api.Arrived, by_ms: float) -> api.Arrived:
+def older(event: api.MessageAccepted, by_ms: float) -> api.MessageAccepted:
     """The same a while later. Guards against windows that seem longer by the time from the look at an age to
     the turn in which the module hears of it: at a start with many messages, that may be long."""
     ran_ago_ms = None if event.ran_ago_ms is None else event.ran_ago_ms + by_ms
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -4,7 +4,6 @@
 
 from crowpier import Dispatcher
 from crowpier.interface import (
-    Arrived,
     AttemptEnded,
     Cancel,
     Effect,
@@ -15,6 +14,7 @@
     Kind,
     Listed,
     ListKind,
+    MessageAccepted,
     MessageClass,
     Outcome,
     Probe,
@@ -60,7 +60,7 @@
         self.settings = settings(**changes)
         self.dispatcher = Dispatcher(self.settings, seed=5)
         self.now = 1000.0
-        self.taken: dict[int, Arrived] = {}
+        self.taken: dict[int, MessageAccepted] = {}
         self.since: dict[int, float] = {}
         self.sent: dict[int, list[tuple[str, float, float]]] = {}
         self.out: dict[tuple[int, int], str] = {}
@@ -103,10 +103,10 @@
     def arrive_together(self, *messages: int) -> list:
         return self.feed(*(self.arrival(message) for message in messages))
 
-    def arrival(self, message, cls=SAFE, destination=1, key=0, tenant=0) -> Arrived:
+    def arrival(self, message, cls=SAFE, destination=1, key=0, tenant=0) -> MessageAccepted:
         left = self.settings.classes[cls].deadline_ms
         self.since[message] = self.now
-        self.taken[message] = Arrived(message, cls, destination, left, tenant, key)
+        self.taken[message] = MessageAccepted(message, cls, destination, left, tenant, key)
         return self.taken[message]
 
     def end(self, message: int, outcome: Outcome, attempt: int | None = None, wait: float = 0.0) -> list:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -224,7 +224,7 @@
                 ran_ago = None if since is None else self.now - since
                 attempts = self.attempts.get(number, 0)
                 told = {"attempts": attempts, "ran_ago_ms": ran_ago, "ran_endpoint": endpoint}
-                resumed.append(api.Arrived(number, cls, destination, left, **told))
+                resumed.append(api.MessageAccepted(number, cls, destination, left, **told))
         self.start(index, tuple(resumed))
 
     def arrive(self, destination: int) -> None:
@@ -232,7 +232,7 @@
         index = self.chance.choice(list(self.dispatchers))
         self.taken[number] = (self.now, cls, destination)
         self.owners[number] = index
-        self.feed(index, api.Arrived(number, cls, destination, CLASSES[cls].deadline_ms))
+        self.feed(index, api.MessageAccepted(number, cls, destination, CLASSES[cls].deadline_ms))
 
     def traffic(self, destination: int, per_s: float, start: float, end: float) -> None:
         """Messages at random moments, dealt to dispatchers by chance."""
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -9,7 +9,7 @@
 
 from crowpier import Dispatcher
 from crowpier.benchlink import parse_settings
-from crowpier.interface import Arrived
+from crowpier.interface import MessageAccepted
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.journal import Journal, Kept
@@ -91,7 +91,7 @@
         node = node_of(tmp_path, heard)
         for number, tenant in enumerate(("consorzio", "comune", "")):
             node.offer(Offer(b"m%d" % number, "berth", 7, 1000.0, b"", tenant=tenant), lambda reply: None)
-        assert [event.tenant for event in heard if isinstance(event, Arrived)] == [0, 1, 2]
+        assert [event.tenant for event in heard if isinstance(event, MessageAccepted)] == [0, 1, 2]
         with pytest.raises(BadRequest, match="unknown tenant 'duomo'"):
             node.offer(Offer(b"m9", "berth", 7, 1000.0, b"", tenant="duomo"), lambda reply: None)
         node.journal.close()
@@ -108,7 +108,7 @@
         heard = []
         node = node_of(tmp_path, heard)
         resume(node)
-        assert [event.tenant for event in heard if isinstance(event, Arrived)] == [1]
+        assert [event.tenant for event in heard if isinstance(event, MessageAccepted)] == [1]
         node.journal.close()
 
     run(work())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,7 +15,7 @@
 
 from crowpier import Dispatcher
 from crowpier.benchlink import parse_settings
-from crowpier.interface import Arrived, Entry, Outcome
+from crowpier.interface import Entry, MessageAccepted, Outcome
 from rushhitch.connection import Connection
 from rushhitch.core.node import Node
 from rushhitch.core.state_transfer import StateTransfer
@@ -162,7 +162,7 @@
 
 
 def resumed(message, left_ms, cls=0, **told):
-    return Arrived(message, cls, 1, left_ms, untried=True, **told)
+    return MessageAccepted(message, cls, 1, left_ms, untried=True, **told)
 
 
 def test_what_was_resumed_untried_is_sent_with_less_time_than_a_call_takes():
--- a/tests/test_journal_crash.py
+++ b/tests/test_journal_crash.py
@@ -8,7 +8,7 @@
 from lives import DISK, WALL, Life, load, settle, virtual
 
 from crowpier import Dispatcher
-from crowpier.interface import Arrived
+from crowpier.interface import MessageAccepted
 from lab.disk import HOWS, CountingFiles, Crash, CrashingFiles, FailingFiles, FullFiles
 from rushhitch.journal import Journal, Kept
 from rushhitch.journal.files import on_disk
@@ -346,7 +346,7 @@
     arrived, handle = [], Dispatcher.handle
 
     def listening(self, now, events):
-        arrived.extend(event.message for event in events if isinstance(event, Arrived))
+        arrived.extend(event.message for event in events if isinstance(event, MessageAccepted))
         return handle(self, now, events)
 
     monkeypatch.setattr(Dispatcher, "handle", listening)
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -19,13 +19,13 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import parse_settings
 from crowpier.interface import (
-    Arrived,
     AttemptEnded,
     Effect,
     Entry,
     Fail,
     Listed,
     ListKind,
+    MessageAccepted,
     MessageClass,
     Outcome,
     Reconfigured,
@@ -310,7 +310,7 @@
         position = choice % len(self.in_force.classes)
         self.message += 1
         self.terms[self.message] = (self.in_force.classes[position].effect, self.in_force.max_attempts)
-        self.feed(Arrived(self.message, position, 1, 6000.0))
+        self.feed(MessageAccepted(self.message, position, 1, 6000.0))
 
     @rule(outcome=st.sampled_from([Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED]))
     def answer(self, outcome):
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -3,14 +3,16 @@
 import pytest
 from bed import SAFE, UNSAFE, Bed, Entry
 
-from crowpier.interface import Arrived, Fail, Leaving, Outcome, Remember, Remembered, Send
+from crowpier.interface import Fail, Leaving, MessageAccepted, Outcome, Remember, Remembered, Send
 
 ONE = Entry("e1", 1)
 
 
 def resumed(bed, cls, attempts, ran_ago_ms=None, left_ms=4000.0):
-    bed.taken[1], bed.since[1] = Arrived(1, cls, 1, left_ms), bed.now
-    return bed.feed(Arrived(1, cls, 1, left_ms, attempts=attempts, ran_ago_ms=ran_ago_ms, ran_endpoint="e1"))
+    bed.taken[1], bed.since[1] = MessageAccepted(1, cls, 1, left_ms), bed.now
+    return bed.feed(
+        MessageAccepted(1, cls, 1, left_ms, attempts=attempts, ran_ago_ms=ran_ago_ms, ran_endpoint="e1")
+    )
 
 
 def test_an_unsafe_message_that_may_have_run_fails_at_once():
