--- a/crowpier/benchlink.py
+++ b/crowpier/benchlink.py
@@ -266,7 +266,7 @@
         entries: tuple[api.Entry, ...] = ()
         if kind is not api.ListKind.FAILED:
             entries = self.code(self.tables, number, "inventory")
-        self.note(instance, api.Listed(kind, version, entries))
+        self.note(instance, api.EndpointListReceived(kind, version, entries))
 
     def read_arrival(self) -> None:
         instance, message, cls, tenant, key, left, _hint, destination, marks = self.take(ARRIVAL)
--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -191,7 +191,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class EndpointListReceived:
     """News of the list of endpoints."""
 
     kind: ListKind
@@ -367,7 +367,7 @@
 
 
 Event = (
-    Listed
+    EndpointListReceived
     | MessageAccepted
     | AttemptEnded
     | Dropped
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -402,7 +402,7 @@
             self.attempt_ended(event)
         elif isinstance(event, api.MessageAccepted):
             self.arrived(event)
-        elif isinstance(event, api.Listed):
+        elif isinstance(event, api.EndpointListReceived):
             self.listed(event)
         elif isinstance(event, api.Withdrawn) and event.message in self.messages:
             self.close(self.messages[event.message])
@@ -482,7 +482,7 @@
             self.asks, self.ask_at = self.asks + 1, math.inf
             self.actions.append(api.Subscribe())
 
-    def listed(self, news: api.Listed) -> None:
+    def listed(self, news: api.EndpointListReceived) -> None:
         if news.kind is api.ListKind.FAILED:
             # Guards against a stale list: the directory is asked again, ever more rarely, never in step.
             rest = min(RESUBSCRIBE_MS * 2.0 ** min(self.asks, 8) / 2.0, RESUBSCRIBE_TOP_MS)
--- a/lab/cold.py
+++ b/lab/cold.py
@@ -220,7 +220,7 @@
     def start(self, index: int, *known: api.Event) -> None:
         self.dispatchers[index] = Dispatcher(self.settings, self.chance.randrange(1 << 30))
         entries = tuple(Entry(name, 1) for name in self.names)
-        self.feed(index, api.Listed(api.ListKind.FULL, 1, entries), *known)
+        self.feed(index, api.EndpointListReceived(api.ListKind.FULL, 1, entries), *known)
 
     def feed(self, index: int, *events: api.Event) -> None:
         for action in self.dispatchers[index].handle(self.now, list(events)):
--- a/rushhitch/core/listing.py
+++ b/rushhitch/core/listing.py
@@ -90,7 +90,7 @@
         self.destinations |= dict.fromkeys((entry.destination for entry in self.entries.values()), now)
         for destination in [d for d, at in self.destinations.items() if now - at > LINGER_S]:
             del self.destinations[destination]
-        self.note(api.Listed(kind, int(news.get("version", 0)), tuple(entries)))
+        self.note(api.EndpointListReceived(kind, int(news.get("version", 0)), tuple(entries)))
 
     def entry(self, row: dict[str, Any]) -> api.Entry:
         state, known = STATES[row["state"]], self.entries.get(row["id"])
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -7,12 +7,12 @@
     AttemptEnded,
     Cancel,
     Effect,
+    EndpointListReceived,
     Entry,
     Fail,
     Group,
     HangUp,
     Kind,
-    Listed,
     ListKind,
     MessageAccepted,
     MessageClass,
@@ -93,7 +93,7 @@
                 self.told_off.pop(entry.endpoint, None)
             else:
                 self.told_off.setdefault(entry.endpoint, self.now)
-        return self.feed(Listed(kind, 1, entries))
+        return self.feed(EndpointListReceived(kind, 1, entries))
 
     def arrive(
         self, message: int, cls: int = SAFE, destination: int = 1, key: int = 0, tenant: int = 0
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -155,7 +155,7 @@
     def start(self, index: int, resumed: tuple[api.Event, ...] = ()) -> None:
         self.dispatchers[index] = Dispatcher(self.settings, self.chance.randrange(1 << 30))
         entries = tuple(Entry(t.name, t.destination, kind=t.kind) for t in self.targets)
-        self.feed(index, api.Listed(api.ListKind.FULL, 1, entries), *resumed)
+        self.feed(index, api.EndpointListReceived(api.ListKind.FULL, 1, entries), *resumed)
 
     def at(self, when: float, what: Callable[[], None]) -> None:
         heapq.heappush(self.queue, (when, next(self.order), what))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 import pytest
 from fleet import UNSAFE, Fleet, Target
 
-from crowpier.interface import Entry, Listed, ListKind, State
+from crowpier.interface import EndpointListReceived, Entry, ListKind, State
 from rushhitch.discovery import ANSWER_S, Asks
 
 SEEDS = (1, 2, 3)
@@ -194,5 +194,5 @@
     fleet = Fleet(40, [Target(name, 1, limit=20.0, kind=1) for name in "abc"], 1)
     dispatcher = fleet.dispatchers[0]
     before = dispatcher.lanes["a"].enough
-    fleet.feed(0, Listed(ListKind.DELTA, 2, (Entry("c", 1, kind=1, state=State.GONE),)))
+    fleet.feed(0, EndpointListReceived(ListKind.DELTA, 2, (Entry("c", 1, kind=1, state=State.GONE),)))
     assert dispatcher.lanes["a"].enough == pytest.approx(1.5 * before)
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -8,9 +8,9 @@
 from crowpier import Dispatcher
 from crowpier.interface import (
     AttemptEnded,
+    EndpointListReceived,
     Entry,
     Kind,
-    Listed,
     ListKind,
     Log,
     MessageAccepted,
@@ -46,7 +46,9 @@
 
 def test_wrong_use_says_what_to_do():
     dispatcher = Dispatcher(Settings(**TOLD), seed=1)
-    dispatcher.handle(10.0, [Listed(ListKind.FULL, 1, (Entry("one", 7),)), MessageAccepted(1, 0, 7, 5000.0)])
+    dispatcher.handle(
+        10.0, [EndpointListReceived(ListKind.FULL, 1, (Entry("one", 7),)), MessageAccepted(1, 0, 7, 5000.0)]
+    )
     with pytest.raises(ValueError, match="backwards"):
         dispatcher.handle(9.0, [])
 
@@ -54,8 +56,10 @@
 def test_one_bad_event_costs_no_other_of_its_moment():
     # Guards against decisions that believe in calls which are over.
     dispatcher = Dispatcher(Settings(**TOLD), seed=1)
-    dispatcher.handle(10.0, [Listed(ListKind.FULL, 1, (Entry("one", 7),)), MessageAccepted(1, 0, 7, 5000.0)])
-    bad = Listed(ListKind.DELTA, 2, (Entry("two", 7, kind=9), Entry("three", 8)))
+    dispatcher.handle(
+        10.0, [EndpointListReceived(ListKind.FULL, 1, (Entry("one", 7),)), MessageAccepted(1, 0, 7, 5000.0)]
+    )
+    bad = EndpointListReceived(ListKind.DELTA, 2, (Entry("two", 7, kind=9), Entry("three", 8)))
     events = [bad, MessageAccepted(2, 3, 7, 5000.0), AttemptEnded(1, 0, "one", Outcome.OK, 1.0, True)]
     actions = dispatcher.handle(11.0, events)
     assert Refuse(2) in actions and sum(isinstance(action, Log) for action in actions) == 2
@@ -67,7 +71,9 @@
     def play():
         dispatcher = Dispatcher(Settings(**TOLD), seed=3)
         entries = tuple(Entry(f"e{n}", 7) for n in range(4))
-        done = dispatcher.handle(0.0, [Listed(ListKind.FULL, 1, entries), MessageAccepted(1, 0, 7, 5000.0)])
+        done = dispatcher.handle(
+            0.0, [EndpointListReceived(ListKind.FULL, 1, entries), MessageAccepted(1, 0, 7, 5000.0)]
+        )
         where = done[0].endpoint
         return done + dispatcher.handle(20.0, [AttemptEnded(1, 0, where, Outcome.FULL, 20.0)])
 
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -21,9 +21,9 @@
 from crowpier.interface import (
     AttemptEnded,
     Effect,
+    EndpointListReceived,
     Entry,
     Fail,
-    Listed,
     ListKind,
     MessageAccepted,
     MessageClass,
@@ -275,7 +275,7 @@
         self.in_force = self.settings({"a": Effect.SAFE, "b": Effect.UNSAFE}, 3)
         self.dispatcher = Dispatcher(self.in_force, 7)
         self.terms, self.sent, self.out, self.ran, self.ended = {}, {}, {}, set(), set()
-        self.feed(Listed(ListKind.FULL, 1, (Entry("e1", 1), Entry("e2", 1))))
+        self.feed(EndpointListReceived(ListKind.FULL, 1, (Entry("e1", 1), Entry("e2", 1))))
 
     @staticmethod
     def settings(effects, attempts):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 
 from crowpier import Dispatcher
 from crowpier.benchlink import parse_settings
-from crowpier.interface import Listed, ListKind, MessageAccepted, Remembered, State
+from crowpier.interface import EndpointListReceived, ListKind, MessageAccepted, Remembered, State
 from rushhitch.control.bans import Bans
 from rushhitch.core import listing
 from rushhitch.core import node as node_module
@@ -258,7 +258,7 @@
         while bench.node.endpoints.tasks or bench.node.gathering:
             await asyncio.sleep(0.001)
         minute_later = bench.node.loop.time() * 1000.0 + 60_000.0
-        bench.node.dispatcher.handle(minute_later, [Listed(ListKind.DELTA, 1000)])
+        bench.node.dispatcher.handle(minute_later, [EndpointListReceived(ListKind.DELTA, 1000)])
         assert {name: size for name, size in sizes(bench).items() if size > 3} == {}
 
 
