--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -208,7 +208,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lent:
+class AttemptInProgress:
     """An attempt that an earlier process carries to its end. Those of one `call` share a slot."""
 
     attempt: int
@@ -239,7 +239,7 @@
     ran_endpoint: str = ""
     untried: bool = False  # an earlier process took it on and made no attempt: it is owed one
     terms: Terms | None = None
-    out: tuple[Lent, ...] = ()
+    out: tuple[AttemptInProgress, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -586,7 +586,7 @@
         if len(self.messages) > FULL_HOUSE * self.settings.max_held:
             self.shed()
 
-    def take_over(self, message: Message, lent: api.Lent) -> None:
+    def take_over(self, message: Message, lent: api.AttemptInProgress) -> None:
         """An earlier process has the call out: it holds its slot here and its key's turn until it ends."""
         call = self.lent.get(lent.call)
         if call is None:
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -379,7 +379,9 @@
                 untried=untried,
                 terms=terms,
                 out=tuple(
-                    api.Lent(o.attempt, o.endpoint, o.call, (self.loop.time() - o.started) * 1000.0)
+                    api.AttemptInProgress(
+                        o.attempt, o.endpoint, o.call, (self.loop.time() - o.started) * 1000.0
+                    )
                     for o in loans
                 ),
             )
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -17,10 +17,10 @@
 from crowpier import Dispatcher
 from crowpier.interface import (
     AttemptEnded,
+    AttemptInProgress,
     Effect,
     EndpointListReceived,
     Entry,
-    Lent,
     ListKind,
     MessageAccepted,
     MessageClass,
@@ -367,7 +367,7 @@
 def test_a_call_that_an_earlier_process_still_has_out_begins_the_window_when_it_was_sent(sent_ago_ms):
     told = settings(classes=(MessageClass("berth", 3000, 20000, effect=Effect.KEYED, window_ms=1000),))
     dispatcher = Dispatcher(told, seed=1)
-    lent = (Lent(0, "e1", 1, sent_ago_ms),)
+    lent = (AttemptInProgress(0, "e1", 1, sent_ago_ms),)
     dispatcher.handle(5000.0, [EndpointListReceived(ListKind.FULL, 1, (Entry("e1", 1),))])
     dispatcher.handle(5000.0, [MessageAccepted(1, 0, 1, 20000.0, attempts=1, out=lent)])
     dispatcher.handle(5100.0, [AttemptEnded(1, 0, "e1", Outcome.RESET, 100.0)])
