--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -243,7 +243,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Remembered:
+class ColdStateRestored:
     """At the start: an earlier process gave `Remember` for the endpoint, and nothing has taken it back."""
 
     endpoint: str
@@ -374,7 +374,7 @@
     | ProbeEnded
     | Reminded
     | Withdrawn
-    | Remembered
+    | ColdStateRestored
     | Leaving
     | Allowed
     | Detached
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -410,7 +410,7 @@
             self.wakes_at = math.inf  # a clock that rounds may wake us a trifle early
         elif isinstance(event, api.Dropped) and event.endpoint in self.endpoints:
             del self.endpoints[event.endpoint].idle[:1]
-        elif isinstance(event, api.Remembered) and event.endpoint in self.endpoints:
+        elif isinstance(event, api.ColdStateRestored) and event.endpoint in self.endpoints:
             self.remembered(self.endpoints[event.endpoint], event.pace_per_s)
         elif isinstance(event, api.Leaving):
             self.leaves_at = self.now + event.in_ms
--- a/lab/cold.py
+++ b/lab/cold.py
@@ -345,7 +345,9 @@
             return
         known: list[api.Event] = []
         known += [
-            api.Remembered(name, self.cold[index, name]) for name in self.names if (index, name) in self.cold
+            api.ColdStateRestored(name, self.cold[index, name])
+            for name in self.names
+            if (index, name) in self.cold
         ]
         for number in mine:
             at, cls = self.taken[number]
--- a/rushhitch/core/resumption.py
+++ b/rushhitch/core/resumption.py
@@ -25,7 +25,7 @@
         node.note(api.Learned(known))
     else:
         for endpoint, pace_per_s in node.journal.cold.items():
-            node.note(api.Remembered(endpoint, pace_per_s))
+            node.note(api.ColdStateRestored(endpoint, pace_per_s))
     inherited = inherit(node, loans)
     for kept in node.journal.dropped:
         node.start_report.add(kept, Found.UNANSWERED)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -6,7 +6,7 @@
 from bed import Bed, Entry
 
 from crowpier import learned
-from crowpier.interface import Learned, Outcome, Remembered
+from crowpier.interface import ColdStateRestored, Learned, Outcome
 from lab.cold import SCENARIOS, Return
 
 SCENARIO = {scenario.name: scenario for scenario in SCENARIOS}
@@ -72,7 +72,7 @@
     # Three quarters of what may come as an outage ends, or of one each half second; of all dispatchers.
     entries = [Entry(f"e{number}", 1) for number in range(count)]
     bed = Bed(*entries, dispatchers=30)
-    bed.feed(*(Remembered(entry.endpoint, pace) for entry in entries))
+    bed.feed(*(ColdStateRestored(entry.endpoint, pace) for entry in entries))
     per_s = sum(1000.0 / bed.dispatcher.cold_gap(bed.dispatcher.endpoints[e.endpoint]) for e in entries)
     assert per_s == pytest.approx(0.75 * max(0.9 * 2.0 * 0.2 * pace, 2.0 / 30.0))
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 
 from crowpier import Dispatcher
 from crowpier.benchlink import parse_settings
-from crowpier.interface import EndpointListReceived, ListKind, MessageAccepted, Remembered, State
+from crowpier.interface import ColdStateRestored, EndpointListReceived, ListKind, MessageAccepted, State
 from rushhitch.control.bans import Bans
 from rushhitch.core import listing
 from rushhitch.core import node as node_module
@@ -170,7 +170,9 @@
 
     @with_bench(tmp_path)
     async def _(bench):
-        assert Remembered("e1", 2.5) in told and not any(isinstance(event, MessageAccepted) for event in told)
+        assert ColdStateRestored("e1", 2.5) in told and not any(
+            isinstance(event, MessageAccepted) for event in told
+        )
 
 
 def test_a_full_house_refuses_and_tells_when_to_come_back(tmp_path):
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -3,7 +3,7 @@
 import pytest
 from bed import SAFE, UNSAFE, Bed, Entry
 
-from crowpier.interface import Fail, Leaving, MessageAccepted, Outcome, Remember, Remembered, Send
+from crowpier.interface import ColdStateRestored, Fail, Leaving, MessageAccepted, Outcome, Remember, Send
 
 ONE = Entry("e1", 1)
 
@@ -35,7 +35,7 @@
 def test_an_endpoint_remembered_as_cold_gets_one_call_at_a_time():
     # Guards against pushing over what returns cold after a restart in mid-outage.
     bed = Bed(ONE)
-    bed.feed(Remembered("e1", 4.0))
+    bed.feed(ColdStateRestored("e1", 4.0))
     bed.arrive_together(1, 2, 3)
     assert len(bed.sends()) == 1
     bed.end(bed.sends()[0].message, Outcome.OK)
