--- a/crowpier/benchlink.py
+++ b/crowpier/benchlink.py
@@ -210,7 +210,7 @@
             self.fault(instance, error)
             return
         for action in actions:
-            if not isinstance(action, api.Remember):  # what dies here leaves nothing behind
+            if not isinstance(action, api.RecordColdState):  # what dies here leaves nothing behind
                 self.out.append(self.encode(instance, action))
 
     def fault(self, instance: int, error: Exception) -> None:
--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -244,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdStateRestored:
-    """At the start: an earlier process gave `Remember` for the endpoint, and nothing has taken it back."""
+    """At the start: an earlier process gave `RecordColdState` for the endpoint, and nothing has taken it back."""
 
     endpoint: str
     pace_per_s: float
@@ -449,7 +449,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Remember:
+class RecordColdState:
     """Keep beyond the process: the endpoint is `cold`, having taken such a pace before, or no longer is."""
 
     endpoint: str
@@ -464,4 +464,4 @@
     text: str = field(default="")
 
 
-Action = Send | Cancel | Fail | Refuse | Probe | HangUp | Remind | Subscribe | Remember | Log
+Action = Send | Cancel | Fail | Refuse | Probe | HangUp | Remind | Subscribe | RecordColdState | Log
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -468,7 +468,7 @@
         endpoint.strikes, endpoint.score, endpoint.served_at = 0, max(endpoint.score, PRIOR), -math.inf
         pace = endpoint.lane.part()
         self.remembered(endpoint, pace)
-        self.actions.append(api.Remember(endpoint.name, True, pace))
+        self.actions.append(api.RecordColdState(endpoint.name, True, pace))
 
     def avoided(self) -> int:
         """How many listed endpoints get no ordinary calls now, by operators' word or by the breaker."""
@@ -824,7 +824,7 @@
         gap = math.inf
         if not endpoint.cold:
             endpoint.cold, gap = True, BLINK_TRIAL_MS
-            self.actions.append(api.Remember(endpoint.name, True, endpoint.lane.part()))
+            self.actions.append(api.RecordColdState(endpoint.name, True, endpoint.lane.part()))
         endpoint.tripped = True
         if gap < math.inf and (not early or self.doubted(endpoint.lane)):  # no blink: as after a restart
             endpoint.opens_at = self.now + self.cold_gap(endpoint) * self.random.random()
@@ -881,7 +881,7 @@
 
     def warmed(self, endpoint: Endpoint) -> None:
         endpoint.warm, endpoint.cold = 1.0, False
-        self.actions.append(api.Remember(endpoint.name, False))
+        self.actions.append(api.RecordColdState(endpoint.name, False))
 
     def cold_gap(self, endpoint: Endpoint) -> float:
         """Time between calls to an endpoint that is cold: our part of what it can do, as told or observed."""
--- a/lab/cold.py
+++ b/lab/cold.py
@@ -231,7 +231,7 @@
                     self.later(index, self.now + in_ms, lambda i=index: self.feed(i, api.Reminded(0)))
                 case api.Refuse(number) | api.Fail(number):
                     self.owners.pop(number, None)
-                case api.Remember(name, cold, pace):
+                case api.RecordColdState(name, cold, pace):
                     self.cold.pop((index, name), None)
                     if cold:
                         self.cold[index, name] = pace
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -700,7 +700,7 @@
                 self.endpoints.probe(endpoint, self.probe_ended)
             case api.HangUp(endpoint):
                 self.endpoints.hang_up(endpoint)
-            case api.Remember(endpoint, cold, pace_per_s):
+            case api.RecordColdState(endpoint, cold, pace_per_s):
                 if cold:
                     self.journal.chill(endpoint, pace_per_s)
                 else:
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -18,8 +18,8 @@
     MessageClass,
     Outcome,
     Probe,
+    RecordColdState,
     Refuse,
-    Remember,
     Remind,
     Reminded,
     Send,
@@ -195,7 +195,7 @@
         elif isinstance(action, Cancel):
             assert self.settings.may_cancel and action.attempt < len(self.sent[action.message])
         else:
-            assert isinstance(action, (HangUp, Probe, Remember, Subscribe)), action
+            assert isinstance(action, (HangUp, Probe, RecordColdState, Subscribe)), action
             assert self.settings.may_probe or not isinstance(action, Probe)
 
     def may_have_run(self, message: int) -> bool:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from test_node import OFFER, with_bench
 
-from crowpier.interface import Attached, Detached, Entry, ListKind, Outcome, Remember, Send, State
+from crowpier.interface import Attached, Detached, Entry, ListKind, Outcome, RecordColdState, Send, State
 from rushhitch.control.bans import NAME, Bans
 from rushhitch.control.words import Refused
 from rushhitch.core.operators import Operators
@@ -86,7 +86,7 @@
     bed.feed(Detached("e1"))
     bed.pass_ms(2000)
     actions = bed.feed(Attached("e1"))
-    assert [a.cold for a in actions if isinstance(a, Remember)] == [True]
+    assert [a.cold for a in actions if isinstance(a, RecordColdState)] == [True]
     bed.arrive_together(100, 101, 102, 103, 104)
     assert len(bed.sends()) <= 1, "a burst for what has just started"
     bed.answer_all(4000, 50)
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -3,7 +3,15 @@
 import pytest
 from bed import SAFE, UNSAFE, Bed, Entry
 
-from crowpier.interface import ColdStateRestored, Fail, Leaving, MessageAccepted, Outcome, Remember, Send
+from crowpier.interface import (
+    ColdStateRestored,
+    Fail,
+    Leaving,
+    MessageAccepted,
+    Outcome,
+    RecordColdState,
+    Send,
+)
 
 ONE = Entry("e1", 1)
 
@@ -41,7 +49,7 @@
     bed.end(bed.sends()[0].message, Outcome.OK)
     assert not bed.sends()
     bed.answer_all(20_000.0, 50.0)
-    assert not bed.out and Remember("e1", False) in bed.arrive(4)
+    assert not bed.out and RecordColdState("e1", False) in bed.arrive(4)
 
 
 def test_an_outage_is_remembered_once():
@@ -49,7 +57,7 @@
     for number in range(1, 6):
         bed.arrive(number)
         if bed.sends():
-            notes += [a for a in bed.end(number, Outcome.ERROR) if isinstance(a, Remember)]
+            notes += [a for a in bed.end(number, Outcome.ERROR) if isinstance(a, RecordColdState)]
     assert [(note.endpoint, note.cold) for note in notes] == [("e1", True)]
 
 
