--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -274,7 +274,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Learned:
+class LearnedStateRestored:
     """What an earlier process had learned (`crowpier.learned.export`); our clock is `ahead_ms` of its."""
 
     told: Mapping[str, Any]
@@ -380,7 +380,7 @@
     | Detached
     | Attached
     | Reconfigured
-    | Learned
+    | LearnedStateRestored
 )
 
 
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -422,7 +422,7 @@
             self.attach(event.endpoint)
         elif isinstance(event, api.Reconfigured):
             self.reconfigured(event.settings)
-        elif isinstance(event, api.Learned):
+        elif isinstance(event, api.LearnedStateRestored):
             learned.restore(self, dict(event.told), event.ahead_ms)
 
     # New settings
--- a/rushhitch/core/resumption.py
+++ b/rushhitch/core/resumption.py
@@ -22,7 +22,7 @@
     """Take up what an earlier process left in the journal: its time and its attempts go on. One that still
     ends its calls has told what it had learned (`known`), and what it has out (`loans`)."""
     if known is not None:
-        node.note(api.Learned(known))
+        node.note(api.LearnedStateRestored(known))
     else:
         for endpoint, pace_per_s in node.journal.cold.items():
             node.note(api.ColdStateRestored(endpoint, pace_per_s))
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -6,7 +6,7 @@
 from bed import Bed, Entry
 
 from crowpier import learned
-from crowpier.interface import ColdStateRestored, Learned, Outcome
+from crowpier.interface import ColdStateRestored, LearnedStateRestored, Outcome
 from lab.cold import SCENARIOS, Return
 
 SCENARIO = {scenario.name: scenario for scenario in SCENARIOS}
@@ -215,7 +215,7 @@
     given_up(old, 1)
     old.pass_ms(700.0, timeouts=False)
     told = learned.export(old.dispatcher)
-    new.feed(Learned(told, ahead_ms=5_000.0))
+    new.feed(LearnedStateRestored(told, ahead_ms=5_000.0))
     lane = new.dispatcher.lanes[1]
     assert lane.unheard_at == old.dispatcher.lanes[1].unheard_at + 5_000.0 > lane.answered_at
     assert lane.strikes == old.dispatcher.lanes[1].strikes == 2.0
@@ -227,5 +227,5 @@
     given_up(old, 1)
     told = learned.export(old.dispatcher)
     told["lanes"] = [(key, values[:7], *flows) for key, values, *flows in told["lanes"]]
-    new.feed(Learned(told))
+    new.feed(LearnedStateRestored(told))
     assert new.dispatcher.endpoints["e1"].tripped and not new.dispatcher.doubted(new.dispatcher.lanes[1])
