--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -282,7 +282,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
+class ShutdownScheduled:
     """The process will end `in_ms` from now: what is out by then has no known outcome."""
 
     in_ms: float
@@ -375,7 +375,7 @@
     | Reminded
     | Withdrawn
     | ColdStateRestored
-    | Leaving
+    | ShutdownScheduled
     | Allowed
     | Detached
     | Attached
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -412,7 +412,7 @@
             del self.endpoints[event.endpoint].idle[:1]
         elif isinstance(event, api.ColdStateRestored) and event.endpoint in self.endpoints:
             self.remembered(self.endpoints[event.endpoint], event.pace_per_s)
-        elif isinstance(event, api.Leaving):
+        elif isinstance(event, api.ShutdownScheduled):
             self.leaves_at = self.now + event.in_ms
         elif isinstance(event, api.Allowed) and event.lane in self.lanes:
             self.lanes[event.lane].allow(self.now, event)
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -465,7 +465,7 @@
 
     def leaving(self, at: float) -> None:
         """The process ends at that time of the event loop's clock."""
-        self.note(api.Leaving((at - self.loop.time()) * 1000.0))
+        self.note(api.ShutdownScheduled((at - self.loop.time()) * 1000.0))
 
     def attempt_ended(self, result: Result) -> None:
         message = self.messages[result.attempt.message]
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -6,11 +6,11 @@
 from crowpier.interface import (
     ColdStateRestored,
     Fail,
-    Leaving,
     MessageAccepted,
     Outcome,
     RecordColdState,
     Send,
+    ShutdownScheduled,
 )
 
 ONE = Entry("e1", 1)
@@ -63,7 +63,7 @@
 
 def test_no_unsafe_message_is_sent_shortly_before_the_end():
     bed = Bed(ONE)
-    bed.feed(Leaving(3000.0))
+    bed.feed(ShutdownScheduled(3000.0))
     bed.arrive(1, UNSAFE)
     assert bed.sends()
     bed.end(1, Outcome.OK)
