--- a/crowpier/benchlink.py
+++ b/crowpier/benchlink.py
@@ -292,7 +292,7 @@
 
     def read_reminder(self) -> None:
         instance, token = self.take(REMINDER)
-        self.note(instance, api.Reminded(token))
+        self.note(instance, api.TimerFired(token))
 
     def read_stop(self) -> None:
         (instance,) = self.take(STOP)
--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -324,7 +324,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reminded:
+class TimerFired:
     """A reminder fell due."""
 
     token: int = 0
@@ -372,7 +372,7 @@
     | AttemptEnded
     | Dropped
     | ProbeEnded
-    | Reminded
+    | TimerFired
     | Withdrawn
     | ColdStateRestored
     | ShutdownScheduled
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -406,7 +406,7 @@
             self.listed(event)
         elif isinstance(event, api.Withdrawn) and event.message in self.messages:
             self.close(self.messages[event.message])
-        elif isinstance(event, api.Reminded):
+        elif isinstance(event, api.TimerFired):
             self.wakes_at = math.inf  # a clock that rounds may wake us a trifle early
         elif isinstance(event, api.Dropped) and event.endpoint in self.endpoints:
             del self.endpoints[event.endpoint].idle[:1]
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -695,7 +695,7 @@
             case api.Remind(in_ms, token):
                 if self.reminder is not None:  # the module asks anew only for an earlier time
                     self.reminder.cancel()
-                self.reminder = self.loop.call_later(in_ms / 1000.0, self.note, api.Reminded(token))
+                self.reminder = self.loop.call_later(in_ms / 1000.0, self.note, api.TimerFired(token))
             case api.Probe(endpoint):
                 self.endpoints.probe(endpoint, self.probe_ended)
             case api.HangUp(endpoint):
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -21,11 +21,11 @@
     RecordColdState,
     Refuse,
     Remind,
-    Reminded,
     Send,
     Settings,
     State,
     Subscribe,
+    TimerFired,
     Withdrawn,
 )
 
@@ -146,7 +146,7 @@
             if due > at:
                 break
             self.now = max(self.now, due)
-            events = [Reminded(0)] if any(alarm <= self.now for alarm in self.alarms) else []
+            events = [TimerFired(0)] if any(alarm <= self.now for alarm in self.alarms) else []
             self.alarms = [alarm for alarm in self.alarms if alarm > self.now]
             events += [
                 self.outcome(m, Outcome.TIMEOUT, a) for stop, m, a in sorted(stops) if stop <= self.now
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -168,7 +168,7 @@
                 case api.Send(number, endpoint):
                     sends.setdefault(endpoint, []).append(number)
                 case api.Remind(in_ms):
-                    self.later(index, in_ms, api.Reminded(0))
+                    self.later(index, in_ms, api.TimerFired(0))
                 case api.Refuse(number):
                     self.ends.setdefault(number, (self.now, "refused"))
                     self.owners.pop(number, None)
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -30,9 +30,9 @@
     Outcome,
     Reconfigured,
     Refuse,
-    Reminded,
     Send,
     Settings,
+    TimerFired,
 )
 from rushhitch.config.history import History, lacking
 
@@ -326,7 +326,7 @@
     @rule(span=st.floats(1.0, 7000.0))
     def wait(self, span):
         self.now += span
-        self.feed(Reminded(0))
+        self.feed(TimerFired(0))
 
     @invariant()
     def no_class_is_kept_that_nobody_needs(self):
