--- a/crowpier/benchlink.py
+++ b/crowpier/benchlink.py
@@ -313,7 +313,7 @@
         match action:
             case api.Send(message, endpoint, stop_at):
                 return SUBMIT_TO.pack(1040, instance, message, self.raw[endpoint], stop_at)
-            case api.Remind(in_ms, token):
+            case api.SetTimer(in_ms, token):
                 return REMIND.pack(1030, instance, in_ms, token)
             case api.Cancel(message, attempt):
                 return CANCEL.pack(1060, instance, message, attempt)
--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -436,7 +436,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Remind:
+class SetTimer:
     """Wake the dispatcher after a while, in a later batch."""
 
     in_ms: float
@@ -464,4 +464,4 @@
     text: str = field(default="")
 
 
-Action = Send | Cancel | Fail | Refuse | Probe | HangUp | Remind | Subscribe | RecordColdState | Log
+Action = Send | Cancel | Fail | Refuse | Probe | HangUp | SetTimer | Subscribe | RecordColdState | Log
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -1201,7 +1201,7 @@
         at = max(at, self.now + self.settings.tick_ms)
         if at < self.wakes_at:
             self.wakes_at = at
-            self.actions.append(api.Remind(at - self.now))
+            self.actions.append(api.SetTimer(at - self.now))
 
     def next_chance(self, destination: Destination) -> float:
         message = next(iter(destination.held.values()))
--- a/lab/cold.py
+++ b/lab/cold.py
@@ -227,7 +227,7 @@
             match action:
                 case api.Send(number, name, stop_at_ms=stop_at, start_by_ms=start_by):
                     self.call(index, number, name, stop_at, start_by)
-                case api.Remind(in_ms):
+                case api.SetTimer(in_ms):
                     self.later(index, self.now + in_ms, lambda i=index: self.feed(i, api.TimerFired(0)))
                 case api.Refuse(number) | api.Fail(number):
                     self.owners.pop(number, None)
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -692,7 +692,7 @@
                     self.call_back(number, attempt)
                 else:
                     self.endpoints.cancel(number, attempt)
-            case api.Remind(in_ms, token):
+            case api.SetTimer(in_ms, token):
                 if self.reminder is not None:  # the module asks anew only for an earlier time
                     self.reminder.cancel()
                 self.reminder = self.loop.call_later(in_ms / 1000.0, self.note, api.TimerFired(token))
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -20,8 +20,8 @@
     Probe,
     RecordColdState,
     Refuse,
-    Remind,
     Send,
+    SetTimer,
     Settings,
     State,
     Subscribe,
@@ -189,7 +189,7 @@
             if isinstance(action, Refuse):
                 assert not self.may_have_run(action.message), "refused, but it may have run"
             self.answers[action.message] = type(action).__name__.lower()
-        elif isinstance(action, Remind):
+        elif isinstance(action, SetTimer):
             assert action.in_ms > 0
             self.alarms.append(self.now + action.in_ms)
         elif isinstance(action, Cancel):
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -167,7 +167,7 @@
             match action:
                 case api.Send(number, endpoint):
                     sends.setdefault(endpoint, []).append(number)
-                case api.Remind(in_ms):
+                case api.SetTimer(in_ms):
                     self.later(index, in_ms, api.TimerFired(0))
                 case api.Refuse(number):
                     self.ends.setdefault(number, (self.now, "refused"))
