--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -338,7 +338,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
+class SendAllowance:
     """Guidance from outside: what this dispatcher may send on a lane for `for_ms`. The lane is a destination,
     or an endpoint where its routes are apart. The lower holds of this and what is learned here. `wait_ms` is
     of a wait that another dispatcher was told; `handicap` lowers the score of the lane's endpoints. For
@@ -376,7 +376,7 @@
     | Withdrawn
     | ColdStateRestored
     | ShutdownScheduled
-    | Allowed
+    | SendAllowance
     | Detached
     | Attached
     | Reconfigured
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -163,7 +163,7 @@
             at = max(at, min(self.allowed_next - self.allowed_slack, self.allowed_until))
         return at
 
-    def allow(self, now: float, told: api.Allowed) -> None:
+    def allow(self, now: float, told: api.SendAllowance) -> None:
         """Guidance from those who see all dispatchers: it guards against each learning a limit alone by being
         refused, all overshooting together. It hurts where they are wrong; it runs out by itself."""
         self.heed(now, told.wait_ms)
@@ -414,7 +414,7 @@
             self.remembered(self.endpoints[event.endpoint], event.pace_per_s)
         elif isinstance(event, api.ShutdownScheduled):
             self.leaves_at = self.now + event.in_ms
-        elif isinstance(event, api.Allowed) and event.lane in self.lanes:
+        elif isinstance(event, api.SendAllowance) and event.lane in self.lanes:
             self.lanes[event.lane].allow(self.now, event)
         elif isinstance(event, api.Detached):
             self.detach(event.endpoint)
--- a/rushhitch/core/limits.py
+++ b/rushhitch/core/limits.py
@@ -78,7 +78,7 @@
         if stated < per_s:
             per_s, burst, slots = stated, 1.0, (0.0, 0, ())
         told = (allowance.for_ms, allowance.wait_ms, allowance.handicap)
-        self.note(api.Allowed(lane, per_s, burst, *told, *slots))
+        self.note(api.SendAllowance(lane, per_s, burst, *told, *slots))
 
     def state_limits(self, rates: Mapping[int | str, float]) -> None:
         """Limits in calls a second that partners state, by lane: to all dispatchers together, so each keeps
--- a/tests/test_full_house.py
+++ b/tests/test_full_house.py
@@ -7,7 +7,7 @@
 from bed import KEYED, ORDERED, SAFE, UNSAFE, Bed
 
 from crowpier import Dispatcher
-from crowpier.interface import Allowed, Entry, Outcome, Refuse
+from crowpier.interface import Entry, Outcome, Refuse, SendAllowance
 from crowpier.logic import Message
 
 HELD = 400
@@ -91,7 +91,7 @@
                 cls = chance.choice((SAFE, KEYED, UNSAFE, ORDERED))
                 events.append(bed.arrival(number, cls, chance.choice((1, 2)), chance.choice((0, 0, 1, 2))))
             if guided and chance.random() < 0.3:
-                events.append(Allowed(chance.choice((1, 2)), chance.choice((2.0, 20.0, 200.0))))
+                events.append(SendAllowance(chance.choice((1, 2)), chance.choice((2.0, 20.0, 200.0))))
             for message, attempt in chance.sample(sorted(bed.out), len(bed.out) // 2):
                 outcome = chance.choices((Outcome.OK, Outcome.ERROR, Outcome.FULL), (8, 1, 1))[0]
                 events.append(bed.outcome(message, outcome, attempt, 300.0))
--- a/tests/test_partners_handshake.py
+++ b/tests/test_partners_handshake.py
@@ -8,7 +8,7 @@
 from doubles import run
 from test_node import OFFER, Bench
 
-from crowpier.interface import Allowed
+from crowpier.interface import SendAllowance
 from rushhitch.partners import handshake
 from rushhitch.partners.agreements import BACK_OFF_MS, BACK_OFF_TOP_MS, REFUSED_MS, RENEW_MS, Agreements
 from rushhitch.partners.cloudevents import CloudEvents
@@ -289,7 +289,7 @@
         assert (own.lane, own.per_s, own.slots) == (7, 4.0, ())
         assert (high.per_s, high.burst, high.wait_ms, high.slots) == (4.0, 1.0, 50.0, ())
         assert (low.per_s, low.slots) == (2.0, (10.0,)), "and its moments with it"
-        assert all(isinstance(note, Allowed) for note in notes)
+        assert all(isinstance(note, SendAllowance) for note in notes)
         # A rate that is stated while a grant holds: lower it binds at once, higher it lifts nothing.
         notes.clear()
         node.limits.state_limits({7: 1.0})
