--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -308,7 +308,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dropped:
+class IdleConnectionClosed:
     """An idle connection to the endpoint has ended, and no `HangUp` asked for it."""
 
     endpoint: str
@@ -370,7 +370,7 @@
     EndpointListReceived
     | MessageAccepted
     | AttemptEnded
-    | Dropped
+    | IdleConnectionClosed
     | ProbeEnded
     | TimerFired
     | Withdrawn
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -408,7 +408,7 @@
             self.close(self.messages[event.message])
         elif isinstance(event, api.TimerFired):
             self.wakes_at = math.inf  # a clock that rounds may wake us a trifle early
-        elif isinstance(event, api.Dropped) and event.endpoint in self.endpoints:
+        elif isinstance(event, api.IdleConnectionClosed) and event.endpoint in self.endpoints:
             del self.endpoints[event.endpoint].idle[:1]
         elif isinstance(event, api.ColdStateRestored) and event.endpoint in self.endpoints:
             self.remembered(self.endpoints[event.endpoint], event.pace_per_s)
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -525,7 +525,7 @@
         self.forget(message)
 
     def dropped(self, endpoint: str) -> None:
-        self.note(api.Dropped(endpoint))
+        self.note(api.IdleConnectionClosed(endpoint))
 
     def withdrawn(self, endpoint: str) -> None:
         if (gate := self.listing.gate) is not None and endpoint in self.listing.rows:
