--- a/crowpier/benchlink.py
+++ b/crowpier/benchlink.py
@@ -323,7 +323,7 @@
                 return BOUNCE.pack(1050, instance, message, stay_away)
             case api.Probe(endpoint):
                 return SAMPLE.pack(1020, instance, self.raw[endpoint])
-            case api.HangUp(endpoint):
+            case api.CloseIdleConnections(endpoint):
                 return HANG_UP.pack(1100, instance, self.raw[endpoint])
             case api.Subscribe():
                 return SUBSCRIBE.pack(1000, instance, 1)
--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -309,7 +309,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleConnectionClosed:
-    """An idle connection to the endpoint has ended, and no `HangUp` asked for it."""
+    """An idle connection to the endpoint has ended, and no `CloseIdleConnections` asked for it."""
 
     endpoint: str
 
@@ -429,7 +429,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HangUp:
+class CloseIdleConnections:
     """Close the idle connections to the endpoint."""
 
     endpoint: str
@@ -464,4 +464,15 @@
     text: str = field(default="")
 
 
-Action = Send | Cancel | Fail | Refuse | Probe | HangUp | SetTimer | Subscribe | RecordColdState | Log
+Action = (
+    Send
+    | Cancel
+    | Fail
+    | Refuse
+    | Probe
+    | CloseIdleConnections
+    | SetTimer
+    | Subscribe
+    | RecordColdState
+    | Log
+)
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -451,7 +451,7 @@
         if endpoint := self.endpoints.get(name):
             endpoint.detached = True
             endpoint.idle.clear()
-            self.actions.append(api.HangUp(name))
+            self.actions.append(api.CloseIdleConnections(name))
 
     def attach(self, name: str) -> None:
         if name not in self.detached:
@@ -766,7 +766,7 @@
             endpoint = self.parked.popleft()[1]
             if endpoint.idle and endpoint.idle[0] <= oldest:
                 endpoint.idle.clear()
-                self.actions.append(api.HangUp(endpoint.name))
+                self.actions.append(api.CloseIdleConnections(endpoint.name))
 
     def time_call(self, call: Call, took: float) -> None:
         if call.idle_ms >= self.proven or self.now - self.proven_at > FLOW_MS:
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -698,7 +698,7 @@
                 self.reminder = self.loop.call_later(in_ms / 1000.0, self.note, api.TimerFired(token))
             case api.Probe(endpoint):
                 self.endpoints.probe(endpoint, self.probe_ended)
-            case api.HangUp(endpoint):
+            case api.CloseIdleConnections(endpoint):
                 self.endpoints.hang_up(endpoint)
             case api.RecordColdState(endpoint, cold, pace_per_s):
                 if cold:
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -6,12 +6,12 @@
 from crowpier.interface import (
     AttemptEnded,
     Cancel,
+    CloseIdleConnections,
     Effect,
     EndpointListReceived,
     Entry,
     Fail,
     Group,
-    HangUp,
     Kind,
     ListKind,
     MessageAccepted,
@@ -195,7 +195,7 @@
         elif isinstance(action, Cancel):
             assert self.settings.may_cancel and action.attempt < len(self.sent[action.message])
         else:
-            assert isinstance(action, (HangUp, Probe, RecordColdState, Subscribe)), action
+            assert isinstance(action, (CloseIdleConnections, Probe, RecordColdState, Subscribe)), action
             assert self.settings.may_probe or not isinstance(action, Probe)
 
     def may_have_run(self, message: int) -> bool:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -234,7 +234,7 @@
     bed.pass_ms(1500, timeouts=False)
     bed.arrive(3)
     kinds = [type(action).__name__ for action in bed.actions]
-    assert kinds.index("HangUp") < kinds.index("Send"), "the message goes on a fresh connection"
+    assert kinds.index("CloseIdleConnections") < kinds.index("Send"), "the message goes on a fresh connection"
 
 
 def test_an_idle_connection_is_not_blamed_while_one_that_idled_as_long_works():
