--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -14,7 +14,7 @@
 from lab.sharing_explorer import met
 from rushhitch.membership.view import Bounds
 from rushhitch.sharing.budgets import GAP_S, LEASE_S, LOAN_S, LOOK_S, REST_S, WAIT_S, Budgets
-from rushhitch.sharing.messages import AttemptInProgress, Wanted
+from rushhitch.sharing.messages import Lent, Wanted
 
 
 def member(name="a", fleet=4, size=100.0, until=10.0, most=4, floor=0.0):
@@ -87,28 +87,28 @@
     assert {tell.to for tell in told} == {"a", "c"}
     to_a = next(tell.message for tell in told if tell.to == "a")
     assert to_a.units == {"x": pytest.approx(35.0)}
-    borrower.receive(10.9, "c", AttemptInProgress(to_a.number, {"x": 20.0}))
+    borrower.receive(10.9, "c", Lent(to_a.number, {"x": 20.0}))
     assert borrower.usable("x", 10.9) == 25.0, "another's answer is none"
     borrower.asked[to_a.number] = ("a", 10.25)
-    borrower.receive(11.0, "a", AttemptInProgress(to_a.number, {"x": 20.0}))
-    borrower.receive(11.0, "a", AttemptInProgress(to_a.number, {"x": 20.0}))
+    borrower.receive(11.0, "a", Lent(to_a.number, {"x": 20.0}))
+    borrower.receive(11.0, "a", Lent(to_a.number, {"x": 20.0}))
     assert borrower.budgets["x"].held(11.0) == 20.0
     borrower.asked[99] = ("a", 11.0)
-    borrower.receive(11.1, "a", AttemptInProgress(99, {"x": 8.0}))
+    borrower.receive(11.1, "a", Lent(99, {"x": 8.0}))
     borrower.asked[to_a.number] = ("a", 10.25)
-    borrower.receive(11.2, "a", AttemptInProgress(to_a.number, {"x": 20.0}))
+    borrower.receive(11.2, "a", Lent(to_a.number, {"x": 20.0}))
     assert borrower.budgets["x"].held(11.2) == 8.0
     assert borrower.budgets["x"].held(11.0 + LEASE_S) == 0.0
     late = member("b")
     late.asked[5] = ("a", 10.0)
-    late.receive(10.0 + LEASE_S, "a", AttemptInProgress(5, {"x": 20.0}))
+    late.receive(10.0 + LEASE_S, "a", Lent(5, {"x": 20.0}))
     assert late.budgets["x"].held(10.0 + LEASE_S) == 0.0
 
 
 def test_who_stood_still_past_its_leases_uses_nothing_before_it_has_looked():
     holder = member("b")
     holder.asked[5] = ("a", 10.0)
-    holder.receive(10.0, "a", AttemptInProgress(5, {"x": 20.0}))
+    holder.receive(10.0, "a", Lent(5, {"x": 20.0}))
     assert holder.usable("x", 10.1) == 45.0
     assert holder.usable("x", 10.0 + GAP_S) == 20.0, "its part is unsure already"
     assert holder.usable("x", 40.0) == 0.0
@@ -146,8 +146,8 @@
         assert honest.receive(10.0, "liar", Wanted(2, units)) == []
     assert honest.receive(10.0, "liar", Wanted(3, {"unknown": 1.0}))[0].message.units == {"unknown": 0.0}
     honest.asked[9] = ("liar", 10.0)
-    honest.receive(10.0, "liar", AttemptInProgress(9, {"x": 101.0}))
-    honest.receive(10.0, "liar", AttemptInProgress(77, {"x": 5.0}))
+    honest.receive(10.0, "liar", Lent(9, {"x": 101.0}))
+    honest.receive(10.0, "liar", Lent(77, {"x": 5.0}))
     assert honest.budgets["x"].held(10.0) == 0.0, "more than there is, and an answer to nothing"
 
 
