--- a/crowpier/benchlink.py
+++ b/crowpier/benchlink.py
@@ -141,7 +141,7 @@
         connect_timeout_ms=get("policyLimits.connectTimeoutMs"),
         conn_idle_ms=get("policyLimits.connIdleMs"),
         subscribes=get("discovery", str) == "on_request",
-        told_rates=get("weights", str) != "off",
+        advertised_rates=get("weights", str) != "off",
         worth_halves=get("familyInfo.losesWorth", str) == "halves",
         over_share_worth=told.get("overShareWorth", 1.0),
         answer_slack_ms=get("guarantees.answerSlackMs"),
--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -136,7 +136,7 @@
     connect_timeout_ms: float = 1000.0
     conn_idle_ms: float = 10000.0
     subscribes: bool = False
-    told_rates: bool = False
+    advertised_rates: bool = False
     worth_halves: bool = False
     over_share_worth: float = 1.0
     answer_slack_ms: float = 0.0
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -548,7 +548,7 @@
                 self.returns.discard(entry.endpoint)
                 self.restarted(endpoint)
         endpoint.state = entry.state
-        if self.settings.told_rates and entry.rate_per_s > 0:
+        if self.settings.advertised_rates and entry.rate_per_s > 0:
             lane = endpoint.lane
             if lane.told_rate == 0.0:  # the pace starts there; refusals and time then move it
                 lane.pace, lane.cut_at = entry.rate_per_s, self.now
--- a/tests/test_any_day.py
+++ b/tests/test_any_day.py
@@ -27,7 +27,7 @@
         "may_cancel": st.booleans(),
         "may_probe": st.booleans(),
         "subscribes": st.booleans(),
-        "told_rates": st.booleans(),
+        "advertised_rates": st.booleans(),
         "worth_halves": st.booleans(),
         "max_attempts": st.sampled_from([1, 3, 12]),
         "zone_fees": st.sampled_from([(), (0.01, 0.04)]),
