--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -341,7 +341,7 @@
 class SendAllowance:
     """Guidance from outside: what this dispatcher may send on a lane for `for_ms`. The lane is a destination,
     or an endpoint where its routes are apart. The lower holds of this and what is learned here. `wait_ms` is
-    of a wait that another dispatcher was told; `handicap` lowers the score of the lane's endpoints. For
+    of a wait that another dispatcher was told; `score_penalty` lowers the score of the lane's endpoints. For
     `slots_ms`, calls go at the moments `slots` (milliseconds from now), of which the first has the number
     `slot`: one that was told before counts once.
     """
@@ -351,13 +351,13 @@
     burst: float = 1.0
     for_ms: float = 1000.0
     wait_ms: float = 0.0
-    handicap: float = 0.0
+    score_penalty: float = 0.0
     slots_ms: float = 0.0
     slot: int = 0
     slots: tuple[float, ...] = ()
 
     def __post_init__(self) -> None:
-        for key in ("per_s", "for_ms", "wait_ms", "handicap", "slots_ms", "slot"):
+        for key in ("per_s", "for_ms", "wait_ms", "score_penalty", "slots_ms", "slot"):
             if not getattr(self, key) >= 0:
                 raise ValueError(f"allowed: {key} must not be negative, nor {getattr(self, key)!r}")
         if not self.burst >= 1:
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -135,7 +135,7 @@
         self.allowed_until = self.allowed_next = self.slots_until = -math.inf
         self.slots: deque[tuple[int, float]] = deque()  # moments from outside: number, when
         self.slot_used = 0
-        self.handicap = 0.0
+        self.score_penalty = 0.0
 
     def pace_at(self, now: float) -> float:
         """Calls a second that may be sent: cut by refusals, growing by compound with time since. It guards
@@ -172,7 +172,7 @@
         self.allowed_next = min(self.allowed_next, now + told.burst * self.allowed_gap)
         if not told.per_s:
             self.allowed_next = math.inf
-        self.allowed_until, self.handicap = now + told.for_ms, told.handicap
+        self.allowed_until, self.score_penalty = now + told.for_ms, told.score_penalty
         self.slots_until = now + told.slots_ms
         missed = [slot for slot in self.slots if slot[0] < told.slot and slot[1] <= now]
         coming = [(told.slot + n, now + at) for n, at in enumerate(told.slots)]
@@ -933,7 +933,7 @@
             - LOAD_DISCOUNT * len(endpoint.calls)
             - FEE_DISCOUNT * fee
             - (0.0 if endpoint.idle else COLD_CONN_DISCOUNT)
-            - (endpoint.lane.handicap if self.now < endpoint.lane.allowed_until else 0.0)
+            - (endpoint.lane.score_penalty if self.now < endpoint.lane.allowed_until else 0.0)
         )
 
     def ranked(self, endpoints: list[Endpoint]) -> list[Endpoint]:
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -581,7 +581,7 @@
         rows = [LaneReport(f"e{route}", "d1", 5.0, 1.0) for route in ("a", "b", "c")]
         planner.handle(0.0, Report(f"f{n}", 1, 250.0, ["p1"], rows))
         answer = planner.handle(1.0, Report(f"f{n}", 2, 250.0, ["p1"], rows))
-        firsts += [told.lane for told in answer.grants if told.handicap == 0.0]
+        firsts += [told.lane for told in answer.grants if told.score_penalty == 0.0]
     assert len(firsts) == 60 and all(firsts.count(f"e{route}") > 8 for route in ("a", "b", "c"))
 
 
@@ -729,7 +729,7 @@
 
 def test_a_handicap_makes_another_route_the_first():
     bed = Bed(Entry("w1", 1, kind=1, zone=1), Entry("w2", 1, kind=1, zone=1))
-    bed.feed(SendAllowance("w1", 100.0, for_ms=60_000.0, handicap=0.06))
+    bed.feed(SendAllowance("w1", 100.0, for_ms=60_000.0, score_penalty=0.06))
     bed.arrive(1)
     assert bed.where(1) == ["w2"]
 
