--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -394,7 +394,7 @@
 
     message: int
     endpoint: str
-    stop_at_ms: float = 0.0
+    timeout_at_ms: float = 0.0
     start_by_ms: float = math.inf
 
 
--- a/lab/cold.py
+++ b/lab/cold.py
@@ -225,7 +225,7 @@
     def feed(self, index: int, *events: api.Event) -> None:
         for action in self.dispatchers[index].handle(self.now, list(events)):
             match action:
-                case api.Send(number, name, stop_at_ms=stop_at, start_by_ms=start_by):
+                case api.Send(number, name, timeout_at_ms=stop_at, start_by_ms=start_by):
                     self.call(index, number, name, stop_at, start_by)
                 case api.SetTimer(in_ms):
                     self.later(index, self.now + in_ms, lambda i=index: self.feed(i, api.TimerFired(0)))
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -656,12 +656,12 @@
         match action:
             case api.Send() if self.lifecycle.phase is not Phase.SERVING:
                 pass  # the process that goes on decides anew
-            case api.Send(number, endpoint, stop_at_ms, start_by_ms):
+            case api.Send(number, endpoint, timeout_at_ms, start_by_ms):
                 message = self.messages[number]
                 kept, attempt = message.kept, message.attempts
                 message.attempts += 1
                 message.out.add(attempt)
-                stop_at = min(stop_at_ms / 1000.0, message.due)
+                stop_at = min(timeout_at_ms / 1000.0, message.due)
                 sends.setdefault(endpoint, []).append(
                     Attempt(
                         number,
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -222,7 +222,7 @@
         attempts = self.sent.setdefault(send.message, [])
         assert len(attempts) < self.settings.max_attempts, "more attempts than allowed"
         self.out[send.message, len(attempts)] = send.endpoint
-        attempts.append((send.endpoint, self.now, send.stop_at_ms))
+        attempts.append((send.endpoint, self.now, send.timeout_at_ms))
         calls = {
             (self.sent[m][a][0], self.sent[m][a][1]) if self.batches(m, a) else (m, a) for m, a in self.out
         }
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -266,7 +266,7 @@
     bed.end(2, Outcome.OK)
     bed.pass_ms(500, timeouts=False)
     bed.arrive(3, UNSAFE)
-    stop_at = bed.sends()[0].stop_at_ms
+    stop_at = bed.sends()[0].timeout_at_ms
     assert stop_at - bed.now <= 4 * CLASSES[UNSAFE].aim_ms
 
 
