--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -418,7 +418,7 @@
     """Final answer that tells the client that trying again is harmless."""
 
     message: int
-    stay_away_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -679,8 +679,8 @@
                 )
             case api.Fail(number):
                 self.answer_end(self.messages[number], "dead", 0.0)
-            case api.Refuse(number, stay_away_ms):
-                self.answer_end(self.messages[number], "bounced", stay_away_ms)
+            case api.Refuse(number, retry_after_ms):
+                self.answer_end(self.messages[number], "bounced", retry_after_ms)
             case api.Cancel(number, attempt):
                 held = self.messages.get(number)
                 if held is not None and (result := held.pending) and result.attempt.number == attempt:
