--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -55,12 +55,12 @@
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    NOT_EXECUTED = 7
 
     @property
     def never_ran(self) -> bool:
         """True where the outcome proves that the message did not run."""
-        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_EXECUTED)
 
 
 def _check(value: object, key: str, low: float, high: float = math.inf) -> None:
@@ -390,7 +390,7 @@
 @dataclass(frozen=True, slots=True)
 class Send:
     """Call the endpoint with the message; the n-th send of a message is its attempt n, counted from 0. From
-    `start_by_ms` on it must not begin any more: a call whose connection comes up later ends as `MOOT`."""
+    `start_by_ms` on it must not begin any more: a call whose connection comes up later ends as `NOT_EXECUTED`."""
 
     message: int
     endpoint: str
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -692,7 +692,7 @@
         message.out -= 1
         if call.abandoned and event.outcome is Outcome.CANCELLED:
             event = replace(event, outcome=Outcome.TIMEOUT)  # and that is what it was
-        if event.outcome is Outcome.MOOT and self.now >= call.start_by - LOOKS_MS:
+        if event.outcome is Outcome.NOT_EXECUTED and self.now >= call.start_by - LOOKS_MS:
             call.endpoint.came_up = True
             event = replace(event, outcome=Outcome.CONNECT_FAILED)
         self.settle(call, event)
@@ -717,7 +717,7 @@
             if call.endpoint.state is State.GONE:
                 self.remove(call.endpoint)
         call.endpoint.lane.heed(self.now, event.wait_ms)  # each message of a call may tell a wait of its own
-        if call.judged or event.outcome in (Outcome.MOOT, Outcome.CANCELLED):
+        if call.judged or event.outcome in (Outcome.NOT_EXECUTED, Outcome.CANCELLED):
             return
         call.judged = True
         if event.outcome is Outcome.CONNECT_FAILED and not call.endpoint.strikes:
@@ -904,7 +904,7 @@
             return
         if outcome in (Outcome.ERROR, Outcome.RESET) and call.endpoint is message.first and message.retries:
             message.retries -= 1
-        elif outcome is not Outcome.MOOT:
+        elif outcome is not Outcome.NOT_EXECUTED:
             message.retries = 0
             if message.plans is None:
                 message.plans = self.plan(message)
--- a/lab/cold.py
+++ b/lab/cold.py
@@ -285,7 +285,7 @@
             if self.back < limit and way == "late" and self.back < start_by:
                 self.later(index, self.back, served)
             elif self.back < limit and way == "late":
-                self.later(index, self.back, lambda: end(Outcome.MOOT))
+                self.later(index, self.back, lambda: end(Outcome.NOT_EXECUTED))
             elif self.back < limit:
                 self.later(index, self.back, lambda: end(Outcome.CONNECT_FAILED))
             else:
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -61,7 +61,10 @@
 ANSWER_MARGIN_S = 0.1  # a client's message is so much older than we know, at most: it waited on its way here
 ENDED_SHARE = 0.5  # of the room for live messages: identities remembered past their end take no more
 ACCEPTED = 202
-RAN = {Verdict.NOT_RUN: Outcome.MOOT, Verdict.RAN: Outcome.ERROR}  # what a negative acknowledgement means
+RAN = {
+    Verdict.NOT_RUN: Outcome.NOT_EXECUTED,
+    Verdict.RAN: Outcome.ERROR,
+}  # what a negative acknowledgement means
 ACK_MARGIN_S = 0.1  # before its time is up, a message that no acknowledgement has come for is failed
 REFUSED_NOTICE, FAILED_NOTICE = "bounced", "dead"  # ends as the platform is told them
 RETRY_S = 0.25  # between two tries to write what a full disk did not take
@@ -587,7 +590,7 @@
             wanted = []
             for attempt in attempts:
                 if self.messages[attempt.message].stage is not Stage.ACCEPTED:  # while the disk was at work
-                    self.attempt_ended(Result(attempt, endpoint, Outcome.MOOT, 0.0))
+                    self.attempt_ended(Result(attempt, endpoint, Outcome.NOT_EXECUTED, 0.0))
                 else:
                     wanted.append(attempt)
             if wanted:
@@ -650,7 +653,7 @@
                 self.reject(message)
         for endpoint, attempts in sends.items():
             for attempt in attempts:
-                self.attempt_ended(Result(attempt, endpoint, Outcome.MOOT, 0.0))
+                self.attempt_ended(Result(attempt, endpoint, Outcome.NOT_EXECUTED, 0.0))
 
     def act(self, action: api.Action, sends: dict[str, list[Attempt]]) -> None:
         match action:
--- a/rushhitch/endpoints.py
+++ b/rushhitch/endpoints.py
@@ -273,7 +273,7 @@
         """Start the calls that one turn's attempts at an endpoint make."""
         if self.frozen or endpoint not in self.entries or endpoint in self.banned:
             for attempt in attempts:
-                self.report(Result(attempt, endpoint, Outcome.MOOT, 0.0))
+                self.report(Result(attempt, endpoint, Outcome.NOT_EXECUTED, 0.0))
             return
         place = self.entries[endpoint]
         size = place.codec.batch(place.batch)
@@ -347,7 +347,7 @@
                     connection = call.connection = await self.connected(call)
                     attempts = self.still_open(call, attempts)
                     if self.stopped(connection, call, attempts):
-                        broken = Outcome.MOOT
+                        broken = Outcome.NOT_EXECUTED
                         break
                     connection.begun = lambda: self.hurry(limit)
                     try:
@@ -366,14 +366,17 @@
             broken = Outcome.TIMEOUT
         except asyncio.CancelledError:
             sent = connection is not None and connection.written
-            broken = Outcome.MOOT if call.recalled and not sent else Outcome.CANCELLED
+            broken = Outcome.NOT_EXECUTED if call.recalled and not sent else Outcome.CANCELLED
         except NoRoom as error:
             log.warning("not sent to %s: %s", call.endpoint, error)
-            broken = Outcome.MOOT
+            broken = Outcome.NOT_EXECUTED
         except NotSent as error:
             self.held_back += 1
             log.info("a call was held back", extra={"endpoint": call.endpoint, "reason": str(error)})
-            broken, call.recalled = Outcome.MOOT, True  # most of it is written: its connection is of no use
+            broken, call.recalled = (
+                Outcome.NOT_EXECUTED,
+                True,
+            )  # most of it is written: its connection is of no use
         except h11.ProtocolError as error:
             log.debug("the answer of %s is spoilt: %r", call.endpoint, error)
             broken = Outcome.ERROR
@@ -408,7 +411,9 @@
     def leave(self, connection: Connection, call: Call, broken: Outcome) -> None:
         """Keep the connection if its call has come to a clean end, or was never written."""
         connection.begun = None
-        unused = broken is Outcome.MOOT and not call.recalled  # what was called back may be half written
+        unused = (
+            broken is Outcome.NOT_EXECUTED and not call.recalled
+        )  # what was called back may be half written
         call.kept = connection.next_cycle() if connection.written else unused
         if call.kept:
             self.put(call.endpoint, connection)
@@ -418,8 +423,8 @@
     @staticmethod
     def broken(connection: Connection | None, call: Call, broken: Outcome) -> MessageEnd:
         """What became of each message of a call that did not come to a clean end."""
-        if broken is Outcome.MOOT:
-            return MessageEnd(Outcome.MOOT)
+        if broken is Outcome.NOT_EXECUTED:
+            return MessageEnd(Outcome.NOT_EXECUTED)
         if connection is None or not connection.written:
             return MessageEnd(broken if broken is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
         if len(call.ids) == 1 and call.codec.delivered(connection.head):
@@ -451,7 +456,7 @@
         further connection of a call takes it anew."""
         for attempt in list(call.open.values()):
             if not self.may_send(attempt):
-                self.end(call, attempt, MessageEnd(Outcome.MOOT))
+                self.end(call, attempt, MessageEnd(Outcome.NOT_EXECUTED))
         attempts = [attempt for attempt in attempts if (attempt.message, attempt.number) in call.open]
         call.ids = [attempt.id for attempt in attempts]
         return attempts
@@ -537,14 +542,14 @@
         if endpoint in self.entries and endpoint not in self.banned:
             self.keep_task(endpoint, self.run_probe(endpoint, report))
         else:
-            report(endpoint, Outcome.MOOT, 0.0)
+            report(endpoint, Outcome.NOT_EXECUTED, 0.0)
 
     async def run_probe(self, endpoint: str, report: Callable[[str, Outcome, float], None]) -> None:
         call, connection, outcome = Call(endpoint, self.loop.time(), {}, []), None, Outcome.CONNECT_FAILED
         try:
             async with asyncio.timeout(self.settings.connect_timeout_ms / 1000.0):
                 connection = await self.connected(call)
-                outcome = Outcome.MOOT
+                outcome = Outcome.NOT_EXECUTED
                 if not self.barred(endpoint, connection):
                     outcome = Outcome.RESET
                     response = await self.talk(connection, "GET", "/alive", [])
--- a/rushhitch/partners/cloudevents.py
+++ b/rushhitch/partners/cloudevents.py
@@ -116,4 +116,4 @@
         return MessageEnd(Outcome.FULL)
     if status in MAY_HAVE_RUN or status >= 500:
         return MessageEnd(Outcome.ERROR)
-    return MessageEnd(Outcome.MOOT)  # 3xx and 4xx: it was not handled; redirects are not followed
+    return MessageEnd(Outcome.NOT_EXECUTED)  # 3xx and 4xx: it was not handled; redirects are not followed
--- a/rushhitch/partners/platform.py
+++ b/rushhitch/partners/platform.py
@@ -16,8 +16,10 @@
 DELIVERY = MessageEnd(Outcome.OK, delivered=True)
 MAY_HAVE_RUN = MessageEnd(Outcome.ERROR)
 TURNED_AWAY = MessageEnd(Outcome.FULL)
-NOT_SENT = MessageEnd(Outcome.MOOT)
-NEVER_TO_RUN = MessageEnd(Outcome.MOOT, final=True)  # the message is over, or has had all its attempts
+NOT_SENT = MessageEnd(Outcome.NOT_EXECUTED)
+NEVER_TO_RUN = MessageEnd(
+    Outcome.NOT_EXECUTED, final=True
+)  # the message is over, or has had all its attempts
 ENDS = {  # of a message in a batch
     b"accepted": DELIVERY,
     b"fault": MAY_HAVE_RUN,
--- a/tests/lives.py
+++ b/tests/lives.py
@@ -104,7 +104,7 @@
     def write(self, endpoint, attempts, going):
         for attempt in attempts:
             if attempt not in going:
-                self.node.attempt_ended(Result(attempt, endpoint, Outcome.MOOT, 0.0))
+                self.node.attempt_ended(Result(attempt, endpoint, Outcome.NOT_EXECUTED, 0.0))
         for attempt in going:
             outcome = self.outside.sent(attempt.id)
             self.node.loop.call_later(CALL_S, self.end, endpoint, attempt, outcome)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -156,7 +156,7 @@
     trial = bed.sends()[0]
     assert trial.start_by_ms == pytest.approx(bed.sent[1][1][1] + 500.0)
     bed.pass_ms(took_ms, timeouts=False)  # within a look of its bound, or past it
-    bed.end(1, Outcome.MOOT)
+    bed.end(1, Outcome.NOT_EXECUTED)
     assert not bed.out and bed.dispatcher.endpoints["e1"].tripped
     bed.pass_ms(300.0, timeouts=False)
     assert not bed.out, "the next trial waits for its gap"
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -230,7 +230,7 @@
         os.close(lower)
         with none_left():
             caller.send(2, endpoint="e2")
-            assert await caller.result() == (Outcome.MOOT, False, 0.0)
+            assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         request.answer(200)
         assert await caller.result() == (Outcome.OK, True, 0.0)
         with none_left():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -229,7 +229,7 @@
         )
         caller.send(0, 1)  # in one call: its bytes hold both
         for _ in range(2):
-            assert await caller.result() == (Outcome.MOOT, False, 0.0)
+            assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         caller.endpoints.begin = begin
         caller.send(0)
         request = await caller.partner.next()
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -56,9 +56,9 @@
         (429, {"X_Come_Back_Ms": "soon"}, (Outcome.FULL, False, 0.0)),
         (429, {"X_Come_Back_Ms": "nan"}, (Outcome.FULL, False, 0.0)),
         (503, {}, (Outcome.FULL, False, 0.0)),
-        (503, {"X_Line_Busy": "1"}, (Outcome.MOOT, False, 0.0)),
-        (504, {}, (Outcome.MOOT, False, 0.0)),
-        (410, {}, (Outcome.MOOT, False, 0.0)),
+        (503, {"X_Line_Busy": "1"}, (Outcome.NOT_EXECUTED, False, 0.0)),
+        (504, {}, (Outcome.NOT_EXECUTED, False, 0.0)),
+        (410, {}, (Outcome.NOT_EXECUTED, False, 0.0)),
         (418, {}, (Outcome.ERROR, False, 0.0)),
     ],
 )
@@ -262,7 +262,7 @@
             await other.next()
         assert await first.ended() and caller.endpoints.connections == 2
         caller.send(4)
-        assert await caller.result() == (Outcome.MOOT, False, 0.0)
+        assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         assert caller.partner.requests.empty()
 
 
@@ -308,8 +308,8 @@
             (Outcome.OK, True, 400.0),
             (Outcome.ERROR, False, 400.0),
             (Outcome.FULL, False, 400.0),
-            (Outcome.MOOT, False, 400.0),
-            (Outcome.MOOT, False, 400.0),
+            (Outcome.NOT_EXECUTED, False, 400.0),
+            (Outcome.NOT_EXECUTED, False, 400.0),
         ]
 
 
@@ -421,10 +421,10 @@
             await asyncio.sleep(0)
         assert not (caller.endpoints.idle or caller.endpoints.busy or caller.endpoints.connections)
         caller.send(3)
-        assert await caller.result() == (Outcome.MOOT, False, 0.0)
+        assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         probes = []
         caller.endpoints.probe("e1", lambda *result: probes.append(result))
-        assert probes == [("e1", Outcome.MOOT, 0.0)]
+        assert probes == [("e1", Outcome.NOT_EXECUTED, 0.0)]
 
 
 def test_connections_too_old_to_be_used_are_closed_when_another_falls_idle():
@@ -515,7 +515,7 @@
         caller.endpoints.send("e1", attempts)
         loop.call_at(start_by, go_on.set)
         for _ in range(batch):
-            assert await caller.result() == (Outcome.MOOT, False, 0.0)
+            assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         assert caller.partner.requests.empty()
 
 
@@ -552,11 +552,11 @@
 
             caller.endpoints.connected = connected
             caller.endpoints.send("e1", [Attempt(3, 0, b"m3", b"", asyncio.get_running_loop().time() + 30.0)])
-            assert await caller.result() == (Outcome.MOOT, False, 0.0)
+            assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
             assert caller.partner.requests.empty()
             return
         go_on.set()
-        assert await caller.result() == (Outcome.MOOT, False, 0.0)
+        assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         assert caller.partner.requests.empty()
 
 
@@ -576,7 +576,7 @@
         await reached.wait()
         caller.list(caller.partner.address, State.DRAINING)
         go_on.set()
-        assert (await results.get())[1] is Outcome.MOOT
+        assert (await results.get())[1] is Outcome.NOT_EXECUTED
         assert caller.partner.requests.empty() and not caller.endpoints.connections
 
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -353,5 +353,5 @@
         due = endpoints.loop.time() + 5.0
         endpoints.send("e1", [Attempt(1, 0, b"m1", b"", due, due, "note", b"", 0.0)])
         await asyncio.sleep(0.05)
-        assert [result.outcome for result in results] == [Outcome.MOOT]
+        assert [result.outcome for result in results] == [Outcome.NOT_EXECUTED]
         assert bench.partner.connections == 0 and not endpoints.calls
--- a/tests/test_partners_cloudevents.py
+++ b/tests/test_partners_cloudevents.py
@@ -91,7 +91,7 @@
     [
         ((200, 201, 202, 204), MessageEnd(Outcome.OK, delivered=True)),
         ((429, 503), MessageEnd(Outcome.FULL)),
-        ((301, 307, 308, 400, 401, 403, 404, 408, 410, 413, 415, 422), MessageEnd(Outcome.MOOT)),
+        ((301, 307, 308, 400, 401, 403, 404, 408, 410, 413, 415, 422), MessageEnd(Outcome.NOT_EXECUTED)),
         ((409, 423, 424, 500, 502, 504, 599), MessageEnd(Outcome.ERROR)),
     ],
 )
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -187,7 +187,7 @@
         await asyncio.sleep(0.02)
         over.add(ended)
         for _ in range(2):
-            assert await caller.result() == (Outcome.MOOT, False, 0.0)
+            assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         caller.send(1 - ended)
         request = await caller.partner.next()
         assert request.headers["x-correlation-id"] == f"m{1 - ended}"
@@ -226,7 +226,7 @@
         await asyncio.sleep(0.02)
         caller.endpoints.cancel(0, 0)
         assert await caller.result() == (Outcome.CANCELLED, False, 0.0)
-        assert await caller.result() == (Outcome.MOOT, False, 0.0)
+        assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         assert caller.partner.requests.empty()
 
     run(work())
@@ -261,7 +261,7 @@
         second = await caller.partner.next()
         assert (second.target, second.headers["x-correlation-id"]) == ("/receive", "m1")
         second.answer(200)
-        assert await caller.result() == (Outcome.MOOT, False, 0.0)
+        assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         assert await caller.result() == (Outcome.OK, True, 0.0)
 
     run(work())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -30,7 +30,7 @@
     assert bed.answers[2] == "fail" and len(bed.sent[2]) == 1
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT])
+@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_EXECUTED])
 def test_an_unsafe_message_that_never_ran_goes_again(outcome):
     bed = Bed(ONE, TWO)
     bed.arrive(1, UNSAFE)
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -402,7 +402,7 @@
         start_by = loop.time() + 0.3
         caller.endpoints.send("e1", [Attempt(1, 1, b"m1", bytes(size), start_by + 30.0, start_by=start_by)])
         loop.call_at(start_by, read.set)
-        assert await caller.result() == (Outcome.MOOT, False, 0.0)
+        assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         await gone.wait()
         assert 0 < arrived < size and caller.endpoints.connections == 0
         assert not caller.endpoints.idle, "a connection with half a request on it was kept"
@@ -429,5 +429,5 @@
         attempts = [Attempt(m, 1, b"m%d" % m, b"", loop.time() + 30.0) for m in range(3)]
         caller.endpoints.send("e1", [replace(a, start_by=by) for a, by in zip(attempts, ages, strict=True)])
         for _ in ages:
-            assert await caller.result() == (Outcome.MOOT, False, 0.0)
+            assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         assert caller.partner.requests.empty()
