--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -470,7 +470,7 @@
         self.remembered(endpoint, pace)
         self.actions.append(api.RecordColdState(endpoint.name, True, pace))
 
-    def avoided(self) -> int:
+    def count_unavailable(self) -> int:
         """How many listed endpoints get no ordinary calls now, by operators' word or by the breaker."""
         listed = (e for e in self.endpoints.values() if e.state is not State.GONE)
         return sum(1 for endpoint in listed if endpoint.detached or endpoint.tripped)
--- a/rushhitch/core/operators.py
+++ b/rushhitch/core/operators.py
@@ -51,7 +51,7 @@
         """The figures as of now; what was handed over is told by the process that has it."""
         node = self.node
         held = 0 if node.relinquished else len(node.by_id)
-        known = len(node.listing.entries), node.dispatcher.avoided()
+        known = len(node.listing.entries), node.dispatcher.count_unavailable()
         told = node.figures.report(node.endpoints.written, held, *known)
         start = node.start_report.counts()
         return told | {"refused_effects": node.lifecycle.counts(), "found_at_start": start}
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -169,7 +169,7 @@
 
     @invariant()
     def the_count_of_those_avoided_has_all_that_are_out(self):
-        assert self.bed.dispatcher.avoided() >= len(self.out & set(self.bed.dispatcher.endpoints))
+        assert self.bed.dispatcher.count_unavailable() >= len(self.out & set(self.bed.dispatcher.endpoints))
         assert self.bed.dispatcher.detached == self.out
 
 
