--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -581,7 +581,7 @@
         rows = [LaneReport(f"e{route}", "d1", 5.0, 1.0) for route in ("a", "b", "c")]
         planner.handle(0.0, Report(f"f{n}", 1, 250.0, ["p1"], rows))
         answer = planner.handle(1.0, Report(f"f{n}", 2, 250.0, ["p1"], rows))
-        firsts += [told.lane for told in answer.grants if told.score_penalty == 0.0]
+        firsts += [told.lane for told in answer.grants if told.handicap == 0.0]
     assert len(firsts) == 60 and all(firsts.count(f"e{route}") > 8 for route in ("a", "b", "c"))
 
 
