--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -721,9 +721,9 @@
             return
         call.judged = True
         if event.outcome is Outcome.CONNECT_FAILED and not call.endpoint.strikes:
-            self.distrust(max(self.keep_ms(), KEEP_FULL * self.settings.conn_idle_ms))
+            self.shorten_keep_alive(max(self.keep_ms(), KEEP_FULL * self.settings.conn_idle_ms))
         elif call.idle_ms and event.outcome in (Outcome.RESET, Outcome.TIMEOUT) and not self.lasts(call):
-            self.distrust(call.idle_ms)
+            self.shorten_keep_alive(call.idle_ms)
             return
         self.learn(call.endpoint, event.outcome, call.sent_at, event.wait_ms)
         if event.outcome is Outcome.OK:
@@ -756,7 +756,7 @@
         """Another call was answered of late on a connection that had idled as long: it is not to blame."""
         return self.proven >= call.idle_ms and self.proven_at >= call.sent_at - FLOW_MS
 
-    def distrust(self, idle_ms: float) -> None:
+    def shorten_keep_alive(self, idle_ms: float) -> None:
         self.keep = max(min(self.keep_ms(), KEEP_CUT * idle_ms), KEEP_LEAST * self.settings.conn_idle_ms)
         self.keep_at = self.now
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -315,7 +315,7 @@
                 second.writer.close()
                 assert await second.ended()
             case "hang-up":
-                decisions.distrust(1.0)
+                decisions.shorten_keep_alive(1.0)
                 while pool.idle:
                     await asyncio.sleep(0.01)
                     bench.node.turn()
