--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -367,7 +367,7 @@
         self.ends: list[tuple[float, int]] = []
         self.usual: dict[str, float] = {}  # by class: its calls' usual time
         self.learn_classes(settings.classes)
-        self.used = self.calls_made = 0
+        self.slots_in_use = self.calls_made = 0
         self.slow: set[Endpoint] = set()  # as of the latest dispatch
         self.lent: dict[int, Call] = {}  # by the earlier process's number, within one moment
         self.wakes_at = self.leaves_at = math.inf
@@ -599,7 +599,7 @@
             sent_at = self.now - lent.sent_ago_ms
             call = Call(self.calls_made, endpoint, message, sent_at, self.usual_call(message))
             self.lent[lent.call] = call
-            self.used += 1
+            self.slots_in_use += 1
             destination.calls[call.number] = endpoint.calls[call.number] = call
         message.attempts += [None] * (lent.attempt + 1 - len(message.attempts))
         message.attempts[lent.attempt] = call
@@ -711,7 +711,7 @@
         """Free the slot when all messages of the call are back; learn from a call once."""
         call.left -= 1
         if not call.left:
-            self.used -= 1
+            self.slots_in_use -= 1
             del call.destination.calls[call.number], call.endpoint.calls[call.number]
             self.note_connection(call, event)
             if call.endpoint.state is State.GONE:
@@ -1101,11 +1101,11 @@
         """Send the most urgent messages while slots last."""
         choices = {}
         self.lines.clear()
-        if self.used < self.settings.slots:
+        if self.slots_in_use < self.settings.slots:
             self.slow = {endpoint for endpoint in self.endpoints.values() if self.is_slow(endpoint)}
             bests = ((number, self.best_held(held)) for number, held in self.destinations.items())
             choices = {number: best for number, best in bests if best}
-        while choices and self.used < self.settings.slots:
+        while choices and self.slots_in_use < self.settings.slots:
             number = max(choices, key=lambda n: choices[n][0])
             _, message, targets = choices.pop(number)
             self.send(message, targets)
@@ -1127,7 +1127,7 @@
 
     def send(self, message: Message, targets: list[Endpoint]) -> None:
         destination = message.destination
-        room = min(self.settings.slots - self.used, self.cap(destination) - len(destination.calls))
+        room = min(self.settings.slots - self.slots_in_use, self.cap(destination) - len(destination.calls))
         room = min(room, message.most - len(message.attempts))
         targets = targets[: max(room, 1)]
         if message.first is None:
@@ -1145,7 +1145,7 @@
         self.calls_made += 1
         destination, usual = message.destination, self.usual_call(message)
         call = Call(self.calls_made, endpoint, message, self.now, usual)
-        self.used += 1
+        self.slots_in_use += 1
         destination.calls[call.number] = endpoint.calls[call.number] = call
         guided = self.now < endpoint.lane.allowed_until  # dispatchers with like shares must not act in step
         endpoint.lane.note_sent(self.now, self.random.uniform(*JITTER) if guided else 1.0)
@@ -1194,7 +1194,7 @@
     def set_alarm(self) -> None:
         """Keep one reminder ahead: the earliest moment at which something held could change."""
         at = min(self.ask_at, self.ends[0][0] if self.ends else math.inf)
-        if self.used < self.settings.slots:
+        if self.slots_in_use < self.settings.slots:
             for destination in self.destinations.values():
                 if destination.held:
                     at = min(at, self.next_chance(destination))
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -63,7 +63,7 @@
     events = [bad, MessageAccepted(2, 3, 7, 5000.0), AttemptEnded(1, 0, "one", Outcome.OK, 1.0, True)]
     actions = dispatcher.handle(11.0, events)
     assert Refuse(2) in actions and sum(isinstance(action, Log) for action in actions) == 2
-    assert dispatcher.used == 0 and not dispatcher.messages
+    assert dispatcher.slots_in_use == 0 and not dispatcher.messages
     assert set(dispatcher.endpoints) == {"one", "three"}
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -271,7 +271,7 @@
     idle = sum(map(len, pool.idle.values()))
     believed = {e.name: (len(e.calls), len(e.idle)) for e in decisions.endpoints.values()}
     held = {name: (calls[name], len(pool.idle.get(name, ()))) for name in pool.entries}
-    return (believed, decisions.used + idle), (held, pool.connections)
+    return (believed, decisions.slots_in_use + idle), (held, pool.connections)
 
 
 @pytest.mark.parametrize(
