--- a/crowpier/learned.py
+++ b/crowpier/learned.py
@@ -23,7 +23,7 @@
 
     settings: Settings
     now: float
-    usual: dict[str, Any]
+    expected_ms: dict[str, Any]
     keep: float
     keep_at: float
     quotas: list[float]
@@ -63,7 +63,7 @@
             rests.append((key, until))
     return {
         "now": dispatcher.now,
-        "usual": dispatcher.usual,
+        "usual": dispatcher.expected_ms,
         "keep": (dispatcher.keep, dispatcher.keep_at),
         "quotas": dispatcher.quotas,
         "stretch": [(number, d.stretch) for number, d in dispatcher.destinations.items()],
@@ -80,9 +80,9 @@
 def restore(dispatcher: Knower, told: dict[str, Any], ahead_ms: float) -> None:
     """Take it up; what is not listed here any more is left out. A `ValueError` where it makes no sense."""
     try:
-        for name, usual in told["usual"].items():
-            if name in dispatcher.usual:
-                dispatcher.usual[name] = usual
+        for name, expected_ms in told["usual"].items():
+            if name in dispatcher.expected_ms:
+                dispatcher.expected_ms[name] = expected_ms
         dispatcher.keep, dispatcher.keep_at = told["keep"][0], told["keep"][1] + ahead_ms
         if len(told["quotas"]) == len(dispatcher.quotas):
             dispatcher.quotas = [until + ahead_ms for until in told["quotas"]]
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -254,10 +254,12 @@
 class Call:
     """One call out: a message, or several of one round where the kind takes them together."""
 
-    def __init__(self, number: int, endpoint: Endpoint, message: Message, now: float, usual: float) -> None:
+    def __init__(
+        self, number: int, endpoint: Endpoint, message: Message, now: float, expected_ms: float
+    ) -> None:
         self.number, self.endpoint, self.sent_at = number, endpoint, now
         self.destination = message.destination
-        self.usual, self.cls, self.left, self.judged = usual, message.cls.name, 0, False
+        self.expected_ms, self.cls, self.left, self.judged = expected_ms, message.cls.name, 0, False
         self.riders: list[tuple[Message, int]] = []  # and which of their attempts it is
         self.start_by = math.inf  # else it is not sent: its connection came up too late
         self.lost_at, self.abandoned, self.overtaken = -math.inf, False, 0  # by later calls
@@ -268,7 +270,7 @@
         message.out += 1
         self.left += 1
         self.riders.append((message, number))
-        lost = max(LOST_CALLS * self.usual, LOST_AIMS[message.cls.effect] * message.cls.aim_ms)
+        lost = max(LOST_CALLS * self.expected_ms, LOST_AIMS[message.cls.effect] * message.cls.aim_ms)
         self.lost_at = max(self.lost_at, self.sent_at + lost)
 
 
@@ -365,7 +367,7 @@
         self.detached: set[str] = set()  # endpoints taken out by operators, listed or not
         self.returns: set[str] = set()  # those given back while not listed
         self.ends: list[tuple[float, int]] = []
-        self.usual: dict[str, float] = {}  # by class: its calls' usual time
+        self.expected_ms: dict[str, float] = {}  # by class: its calls' usual time
         self.learn_classes(settings.classes)
         self.slots_in_use = self.calls_made = 0
         self.slow: set[Endpoint] = set()  # as of the latest dispatch
@@ -429,14 +431,16 @@
 
     def learn_classes(self, classes: tuple[api.MessageClass, ...]) -> None:
         for cls in classes:
-            self.usual.setdefault(cls.name, FIRST_USUAL * cls.aim_ms)
+            self.expected_ms.setdefault(cls.name, FIRST_USUAL * cls.aim_ms)
 
     def reconfigured(self, settings: Settings) -> None:
         """Messages hold the terms that they were taken under; a class that is gone goes with the last."""
         self.settings = settings
         held = {message.cls.name for message in self.messages.values()}
         names = held | {cls.name for cls in settings.classes}
-        self.usual = {name: usual for name, usual in self.usual.items() if name in names}
+        self.expected_ms = {
+            name: expected_ms for name, expected_ms in self.expected_ms.items() if name in names
+        }
         self.learn_classes(settings.classes)
         self.quotas = (self.quotas + [-math.inf] * len(settings.tenants))[: len(settings.tenants)]
         for destination in self.destinations.values():
@@ -637,11 +641,11 @@
     def latest_start(self, message: Message) -> float:
         """Past this nothing is sent: a usual call would end too late, or a repeat would count twice. What was
         taken on before a restart and never tried goes out for as long as it has any time."""
-        usual = 0.0 if message.owed else self.usual_call(message)
-        return min(message.deadline - usual, message.window_ends)
+        expected_ms = 0.0 if message.owed else self.usual_call(message)
+        return min(message.deadline - expected_ms, message.window_ends)
 
     def usual_call(self, message: Message) -> float:
-        return self.usual[message.cls.name] * max(message.destination.stretch, 1.0)
+        return self.expected_ms[message.cls.name] * max(message.destination.stretch, 1.0)
 
     def end_late(self) -> None:
         while self.ends and self.ends[0][0] <= self.now:
@@ -771,13 +775,13 @@
     def time_call(self, call: Call, took: float) -> None:
         if call.idle_ms >= self.proven or self.now - self.proven_at > FLOW_MS:
             self.proven, self.proven_at = call.idle_ms, self.now
-        if call.cls not in self.usual:  # its class was dropped, and its last message withdrawn
+        if call.cls not in self.expected_ms:  # its class was dropped, and its last message withdrawn
             return
-        ratio = took / self.usual[call.cls]
+        ratio = took / self.expected_ms[call.cls]
         destination = call.destination
         destination.stretch += STRETCH_GAIN * (ratio - destination.stretch)
         expected = took / max(destination.stretch, LEAST_STRETCH)
-        self.usual[call.cls] += USUAL_GAIN * (expected - self.usual[call.cls])
+        self.expected_ms[call.cls] += USUAL_GAIN * (expected - self.expected_ms[call.cls])
 
     def learn(self, endpoint: Endpoint, outcome: Outcome, sent_at: float, told_wait: float) -> None:
         """Score the endpoint, keep its lane's limit and its breaker."""
@@ -995,7 +999,7 @@
         """Guards against filling slots with calls to what hangs: the oldest call is long overdue and nothing
         has been answered since it went."""
         call = next(iter(endpoint.calls.values()), None)
-        late = call is not None and self.now - call.sent_at > SILENT_CALL * call.usual
+        late = call is not None and self.now - call.sent_at > SILENT_CALL * call.expected_ms
         return late and endpoint.answered_at < call.sent_at
 
     def doubted(self, lane: Lane) -> bool:
@@ -1023,7 +1027,7 @@
 
     def slow_call(self, endpoint: Endpoint) -> Call | None:
         oldest = next(iter(endpoint.calls.values()), None)
-        return oldest if oldest and self.now - oldest.sent_at > SLOW_CALL * oldest.usual else None
+        return oldest if oldest and self.now - oldest.sent_at > SLOW_CALL * oldest.expected_ms else None
 
     def no_slot(self, endpoint: Endpoint) -> bool:
         """Slow endpoints share one part of the slots, with all destinations together. It guards against slots
@@ -1094,7 +1098,7 @@
         """What a call saves for the time that it holds its slot: urgency, of all that it takes along. It
         guards against slots that are full of calls to what is slow; there messages wait longer."""
         batch = 1 if targets[0].tripped or len(targets) > 1 else self.settings.kinds[targets[0].kind].batch
-        lasts = self.usual[message.cls.name] * max(message.destination.stretch, LEAST_STRETCH)
+        lasts = self.expected_ms[message.cls.name] * max(message.destination.stretch, LEAST_STRETCH)
         return self.urgency(message) * min(batch, waiting) / lasts
 
     def dispatch(self) -> None:
@@ -1143,8 +1147,8 @@
 
     def call(self, message: Message, endpoint: Endpoint) -> Call:
         self.calls_made += 1
-        destination, usual = message.destination, self.usual_call(message)
-        call = Call(self.calls_made, endpoint, message, self.now, usual)
+        destination, expected_ms = message.destination, self.usual_call(message)
+        call = Call(self.calls_made, endpoint, message, self.now, expected_ms)
         self.slots_in_use += 1
         destination.calls[call.number] = endpoint.calls[call.number] = call
         guided = self.now < endpoint.lane.allowed_until  # dispatchers with like shares must not act in step
@@ -1162,7 +1166,7 @@
         aims = TIMEOUT_AIMS[message.cls.effect]
         if call.idle_ms and self.keep_ms() < self.settings.conn_idle_ms:  # it may have been dropped unseen
             aims *= DOUBTED_SHARE
-        patience = max(TIMEOUT_CALLS * call.usual, aims * message.cls.aim_ms)
+        patience = max(TIMEOUT_CALLS * call.expected_ms, aims * message.cls.aim_ms)
         stop_at = min(self.now + patience, message.deadline)
         doubted = call.endpoint.tripped or self.doubted(call.endpoint.lane)
         if doubted and not call.endpoint.came_up:  # what waits through an outage would come in as it ends
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -168,7 +168,7 @@
 def test_what_was_resumed_untried_is_sent_with_less_time_than_a_call_takes():
     # Guards against a new process's guess of how long calls take, by which messages are given up unsent.
     bed = Bed(Entry("e1", 1))
-    usual = bed.dispatcher.usual["notice"]
+    usual = bed.dispatcher.expected_ms["notice"]
     for message, left in enumerate((1.0, usual / 4, usual / 2, usual * 2)):
         bed.since[message], bed.taken[message] = bed.now, resumed(message, left)
     bed.feed(*bed.taken.values())
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -75,11 +75,11 @@
     bed.arrive(1, UNSAFE)
     kept = tuple(cls for cls in bed.settings.classes if cls.name != "payment")
     bed.feed(Reconfigured(classes(classes=kept)))
-    assert "payment" in bed.dispatcher.usual
+    assert "payment" in bed.dispatcher.expected_ms
     bed.end(1, Outcome.OK)
     assert bed.answers[1] == "served"
     bed.feed(Reconfigured(classes(classes=kept)))
-    assert "payment" not in bed.dispatcher.usual
+    assert "payment" not in bed.dispatcher.expected_ms
 
 
 def test_the_history_tells_what_each_message_was_taken_under():
@@ -332,7 +332,7 @@
     def no_class_is_kept_that_nobody_needs(self):
         held = {message.cls.name for message in self.dispatcher.messages.values()}
         known = {cls.name for cls in self.in_force.classes} | held
-        assert known <= set(self.dispatcher.usual)
+        assert known <= set(self.dispatcher.expected_ms)
 
 
 SwapMachine.TestCase.settings = budget(
