--- a/tests/bed.py
+++ b/tests/bed.py
@@ -53,7 +53,7 @@
     return Settings(**(told | changes))
 
 
-class Bed:
+class DispatcherHarness:
     """Feeds events, keeps what is out, and asserts from outside what must hold after every batch."""
 
     def __init__(self, *entries: Entry, **changes) -> None:
--- a/tests/test_any_day.py
+++ b/tests/test_any_day.py
@@ -1,6 +1,6 @@
 """Arbitrary legal events: whatever comes, the rules hold as seen from outside."""
 
-from bed import CLASSES, Bed
+from bed import CLASSES, DispatcherHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -40,7 +40,7 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(TOLD, st.lists(STEP, max_size=60))
 def test_the_rules_hold_on_any_day(told, steps):
-    bed = Bed(*ENTRIES, **told)
+    bed = DispatcherHarness(*ENTRIES, **told)
     for number, step in enumerate(steps):
         play(bed, number, step)
     bed.pass_ms(30_000)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from bed import Bed, Entry
+from bed import DispatcherHarness, Entry
 
 from crowpier import learned
 from crowpier.interface import ColdStateRestored, LearnedStateRestored, Outcome
@@ -71,14 +71,14 @@
 def test_trials_at_several_endpoints_are_together_no_more_than_at_one(count, pace):
     # Three quarters of what may come as an outage ends, or of one each half second; of all dispatchers.
     entries = [Entry(f"e{number}", 1) for number in range(count)]
-    bed = Bed(*entries, dispatchers=30)
+    bed = DispatcherHarness(*entries, dispatchers=30)
     bed.feed(*(ColdStateRestored(entry.endpoint, pace) for entry in entries))
     per_s = sum(1000.0 / bed.dispatcher.cold_gap(bed.dispatcher.endpoints[e.endpoint]) for e in entries)
     assert per_s == pytest.approx(0.75 * max(0.9 * 2.0 * 0.2 * pace, 2.0 / 30.0))
 
 
 def test_endpoints_that_trip_together_have_no_early_trials():
-    bed = Bed(Entry("e1", 1), Entry("e2", 1), dispatchers=30)
+    bed = DispatcherHarness(Entry("e1", 1), Entry("e2", 1), dispatchers=30)
     number = 0
     while not all(bed.dispatcher.endpoints[name].tripped for name in ("e1", "e2")):
         number += 1
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("took_ms, least, most", ((30.0, 3, 3), (1_500.0, 0, 1)))
 def test_after_a_connect_that_was_given_up_and_not_refused_calls_go_one_at_a_time(took_ms, least, most):
     # The message that failed and two new ones: at once, or as a trial within the gap of trials.
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     given_up(bed, 1, took_ms)
     bed.arrive(2)
     bed.arrive(3)
@@ -112,7 +112,7 @@
 
 def test_what_answers_past_a_connect_that_nobody_answered_is_cold():
     # It may have been the one sign of an outage; the next calls go by the ramp, the first after its gap.
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     given_up(bed, 1)
     bed.pass_ms(700.0, timeouts=False)
     owner, attempt = next(iter(bed.out))
@@ -126,7 +126,7 @@
 
 
 def test_a_connect_that_was_lost_while_others_were_answered_is_no_sign_of_an_outage():
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     bed.arrive(1)
     bed.arrive(2)
     bed.pass_ms(100.0, timeouts=False)
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("took_ms", (405.0, 900.0))
 def test_a_connect_of_a_trial_that_comes_up_late_is_not_used_and_tells_of_the_outage(took_ms):
     # What waits for its connection as the outage ends must not come in then.
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     bed.arrive(1)
     assert bed.sends()[0].start_by_ms == float("inf")
     bed.pass_ms(1_500.0, timeouts=False)
@@ -170,7 +170,7 @@
 
 @pytest.mark.parametrize("kind, outcome, together", TOGETHER)
 def test_endpoints_that_fail_by_turns_trip_together_unless_they_are_routes_apart(kind, outcome, together):
-    bed = Bed(Entry("e1", 1, kind), Entry("e2", 1, kind))
+    bed = DispatcherHarness(Entry("e1", 1, kind), Entry("e2", 1, kind))
     both = [bed.dispatcher.endpoints[name] for name in ("e1", "e2")]
     for number, name in enumerate(("e1", "e2", "e1", "e2"), 1):
         for endpoint in both:
@@ -185,7 +185,7 @@
 
 
 def test_one_error_at_each_of_two_endpoints_is_no_outage_of_both():
-    bed = Bed(Entry("e1", 1), Entry("e2", 1))
+    bed = DispatcherHarness(Entry("e1", 1), Entry("e2", 1))
     both = [bed.dispatcher.endpoints[name] for name in ("e1", "e2")]
     for number, name in enumerate(("e1", "e2"), 1):
         for endpoint in both:
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize("zone, beside", ((0, True), (1, False)))
 def test_as_connects_to_two_come_to_nothing_the_third_of_their_zone_is_taken_for_gone(zone, beside):
-    bed = Bed(Entry("e1", 1), Entry("e2", 1), Entry("e3", 1, zone=zone))
+    bed = DispatcherHarness(Entry("e1", 1), Entry("e2", 1), Entry("e3", 1, zone=zone))
     bed.dispatcher.endpoints["e3"].score = 0.4
     given_up(bed, 1)
     assert bed.dispatcher.endpoints[bed.where(1)[0]].tripped
@@ -211,7 +211,7 @@
 
 
 def test_a_successor_keeps_what_was_known_of_connects_that_nobody_answered():
-    old, new = Bed(Entry("e1", 1)), Bed(Entry("e1", 1))
+    old, new = DispatcherHarness(Entry("e1", 1)), DispatcherHarness(Entry("e1", 1))
     given_up(old, 1)
     old.pass_ms(700.0, timeouts=False)
     told = learned.export(old.dispatcher)
@@ -223,7 +223,7 @@
 
 
 def test_what_an_earlier_version_tells_is_taken_up_without_what_it_did_not_know():
-    old, new = Bed(Entry("e1", 1)), Bed(Entry("e1", 1))
+    old, new = DispatcherHarness(Entry("e1", 1)), DispatcherHarness(Entry("e1", 1))
     given_up(old, 1)
     told = learned.export(old.dispatcher)
     told["lanes"] = [(key, values[:7], *flows) for key, values, *flows in told["lanes"]]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from bed import Bed
+from bed import DispatcherHarness
 from doubles import PATIENCE_S, ROOT, UNSAFE, WORTH, Program, playing, run
 from test_benchlink import TOLD
 from test_endpoints import Caller
@@ -167,7 +167,7 @@
 
 def test_what_was_resumed_untried_is_sent_with_less_time_than_a_call_takes():
     # Guards against a new process's guess of how long calls take, by which messages are given up unsent.
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     usual = bed.dispatcher.expected_ms["notice"]
     for message, left in enumerate((1.0, usual / 4, usual / 2, usual * 2)):
         bed.since[message], bed.taken[message] = bed.now, resumed(message, left)
@@ -176,14 +176,14 @@
 
 
 def test_what_was_resumed_with_no_time_left_ends_at_once_and_is_not_sent():
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     bed.since[1], bed.taken[1] = bed.now, resumed(1, 0.0)
     bed.feed(bed.taken[1])
     assert bed.answers[1] == "refuse" and not bed.sent.get(1)
 
 
 def test_a_full_house_that_was_resumed_is_not_shed_unseen():
-    bed = Bed(Entry("e1", 1), max_held=10)
+    bed = DispatcherHarness(Entry("e1", 1), max_held=10)
     for message in range(10):
         bed.since[message], bed.taken[message] = bed.now, resumed(message, 6000.0)
     bed.feed(*bed.taken.values())
--- a/tests/test_full_house.py
+++ b/tests/test_full_house.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from bed import KEYED, ORDERED, SAFE, UNSAFE, Bed
+from bed import KEYED, ORDERED, SAFE, UNSAFE, DispatcherHarness
 
 from crowpier import Dispatcher
 from crowpier.interface import Entry, Outcome, Refuse, SendAllowance
@@ -33,7 +33,7 @@
         return urgency(self, message)
 
     monkeypatch.setattr(Dispatcher, "urgency", counted)
-    bed = Bed(Entry("one", 1), slots=100, max_held=2 * HELD)
+    bed = DispatcherHarness(Entry("one", 1), slots=100, max_held=2 * HELD)
     bed.arrive_together(*range(HELD))
     calls = len(bed.sends())
     assert calls >= 30
@@ -50,7 +50,7 @@
             asked += 1
             return super().__contains__(key)
 
-    bed = Bed(Entry("one", 1), slots=100, max_held=2 * HELD)
+    bed = DispatcherHarness(Entry("one", 1), slots=100, max_held=2 * HELD)
     bed.dispatcher.destinations[1].held = Counted()
     bed.arrive_together(*range(HELD))
     calls = len(bed.sends())
@@ -68,7 +68,7 @@
         return owed.fget(self)
 
     monkeypatch.setattr(Message, "owed", property(counted))
-    bed = Bed(Entry("one", 1), slots=1, max_held=HELD)
+    bed = DispatcherHarness(Entry("one", 1), slots=1, max_held=HELD)
     told = bed.feed(*(replace(bed.arrival(n, SAFE, 1), untried=True) for n in range(HELD)))
     assert not any(isinstance(action, Refuse) for action in told)
     assert looks <= 3 * HELD, "a few each, however many are there"
@@ -78,7 +78,7 @@
 def test_what_goes_is_what_goes_where_all_are_weighed_anew_for_each_call(guided):
     def played(kind):
         bed, chance = (
-            Bed(*ENDPOINTS, slots=12, max_held=2 * HELD, may_cancel=True),
+            DispatcherHarness(*ENDPOINTS, slots=12, max_held=2 * HELD, may_cancel=True),
             random.Random("full house"),
         )
         bed.dispatcher = kind(bed.settings, seed=5)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -4,7 +4,7 @@
 import errno
 
 import pytest
-from bed import SAFE, UNSAFE, Bed
+from bed import SAFE, UNSAFE, DispatcherHarness
 from hypothesis import settings as budget
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -24,7 +24,7 @@
 
 
 def test_nothing_new_goes_to_an_endpoint_that_was_taken_out_and_what_is_out_may_end():
-    bed = Bed(FIRST, SECOND)
+    bed = DispatcherHarness(FIRST, SECOND)
     bed.arrive(1)
     (out,) = bed.where(1)
     bed.feed(Detached(out))
@@ -36,7 +36,7 @@
 
 
 def test_a_retry_that_is_due_goes_elsewhere():
-    bed = Bed(FIRST, SECOND)
+    bed = DispatcherHarness(FIRST, SECOND)
     bed.arrive(1)
     (out,) = bed.where(1)
     bed.end(1, Outcome.ERROR)  # the next try would stay at the first endpoint
@@ -46,7 +46,7 @@
 
 
 def test_where_all_routes_are_out_messages_wait_and_go_once_one_is_back():
-    bed = Bed(FIRST, SECOND)
+    bed = DispatcherHarness(FIRST, SECOND)
     bed.feed(Detached("e1"), Detached("e2"))
     bed.arrive(1)
     bed.pass_ms(1000)
@@ -57,7 +57,7 @@
 
 
 def test_where_all_routes_stay_out_a_message_is_refused_in_time():
-    bed = Bed(FIRST)
+    bed = DispatcherHarness(FIRST)
     bed.feed(Detached("e1"))
     bed.arrive(1)
     bed.pass_ms(7000)
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("state", [State.READY, State.DRAINING])
 def test_the_ban_holds_whatever_the_list_says(state):
-    bed = Bed(FIRST, SECOND)
+    bed = DispatcherHarness(FIRST, SECOND)
     bed.feed(Detached("e1"))
     bed.list(Entry("e1", 1, state=State.GONE), kind=ListKind.DELTA)
     bed.list(Entry("e1", 1, state=state), kind=ListKind.DELTA)
@@ -78,7 +78,7 @@
 
 
 def test_an_endpoint_that_was_given_back_is_cold_and_nothing_speaks_against_it():
-    bed = Bed(FIRST)
+    bed = DispatcherHarness(FIRST)
     for message in range(20):
         bed.arrive(message)
         bed.pass_ms(100, timeouts=False)
@@ -94,7 +94,7 @@
 
 
 def test_one_that_is_given_back_while_it_is_not_listed_is_cold_when_it_comes():
-    bed = Bed(FIRST, SECOND)
+    bed = DispatcherHarness(FIRST, SECOND)
     bed.feed(Detached("e1"))
     bed.list(Entry("e1", 1, state=State.GONE), kind=ListKind.DELTA)
     bed.feed(Attached("e1"))
@@ -105,7 +105,7 @@
 
 
 def test_twice_out_needs_once_in():
-    bed = Bed(FIRST)
+    bed = DispatcherHarness(FIRST)
     bed.feed(Detached("e1"), Detached("e1"), Attached("e1"))
     bed.arrive(1)
     bed.pass_ms(1000, timeouts=False)
@@ -113,7 +113,7 @@
 
 
 def test_a_batch_that_is_being_gathered_takes_no_rider_to_what_was_taken_out():
-    bed = Bed(Entry("e1", 1, kind=2))
+    bed = DispatcherHarness(Entry("e1", 1, kind=2))
     bed.arrive_together(1, 2, 3)
     assert len(bed.out) == 3
     bed.feed(Detached("e1"))
@@ -127,7 +127,7 @@
 
     def __init__(self):
         super().__init__()
-        self.bed, self.out, self.message = Bed(FIRST, SECOND), set(), 0
+        self.bed, self.out, self.message = DispatcherHarness(FIRST, SECOND), set(), 0
         self.listed = {"e1", "e2"}
 
     def note(self, actions):
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -5,7 +5,7 @@
 import signal
 
 import pytest
-from bed import SAFE, UNSAFE, Bed
+from bed import SAFE, UNSAFE, DispatcherHarness
 from doubles import SAFE as NOTE
 from doubles import UNSAFE as PAY
 from doubles import WORTH, run
@@ -39,13 +39,13 @@
 
 def classes(**changes):
     """The bed's settings with another first class."""
-    bed = Bed()
+    bed = DispatcherHarness()
     told = {key: getattr(bed.settings, key) for key in bed.settings.__dataclass_fields__}
     return Settings(**(told | changes))
 
 
 def test_a_message_keeps_its_effect_though_the_class_becomes_unsafe():
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     bed.arrive(1, SAFE)
     rest = bed.settings.classes[1:]
     bed.feed(Reconfigured(classes(classes=(MessageClass("notice", 1500, 6000, effect=Effect.UNSAFE), *rest))))
@@ -59,7 +59,7 @@
 
 
 def test_a_message_keeps_its_number_of_attempts():
-    bed = Bed(Entry("e1", 1), max_attempts=3)
+    bed = DispatcherHarness(Entry("e1", 1), max_attempts=3)
     bed.arrive(1, SAFE)
     bed.feed(Reconfigured(classes(max_attempts=1)))
     bed.arrive(2, SAFE)
@@ -71,7 +71,7 @@
 
 
 def test_a_class_that_was_dropped_goes_with_its_last_message():
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     bed.arrive(1, UNSAFE)
     kept = tuple(cls for cls in bed.settings.classes if cls.name != "payment")
     bed.feed(Reconfigured(classes(classes=kept)))
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from bed import SAFE, UNSAFE, Bed, settings
+from bed import SAFE, UNSAFE, DispatcherHarness, settings
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -640,7 +640,7 @@
 
 
 def test_the_module_keeps_to_the_lower_of_what_it_is_allowed_and_what_it_learned():
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     free = served(bed, 4000.0)
     bed.feed(SendAllowance(1, 5.0, for_ms=4100.0))
     bound = served(bed, 4000.0)
@@ -665,7 +665,7 @@
 
 
 def test_calls_go_at_the_moments_that_were_told_each_once():
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     start = bed.now
     moments = (100.0, 350.0, 600.0)
     bed.feed(SendAllowance(1, 4.0, for_ms=3000.0, slots_ms=700.0, slot=7, slots=moments))
@@ -677,12 +677,12 @@
 
 
 def test_one_moment_that_was_missed_may_be_used_late_but_not_those_within_a_wait():
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     bed.feed(SendAllowance(1, 10.0, for_ms=2000.0, slots_ms=900.0, slot=1, slots=(50.0, 150.0, 250.0, 800.0)))
     bed.pass_ms(400.0)
     start = bed.now
     assert len(goes(bed, start + 300.0)) == 1, "of three that nobody used one is kept"
-    other = Bed(Entry("e1", 1))
+    other = DispatcherHarness(Entry("e1", 1))
     told = {"for_ms": 2000.0, "slots_ms": 900.0, "slot": 1, "slots": (50.0, 150.0, 250.0, 800.0)}
     other.feed(SendAllowance(1, 10.0, wait_ms=300.0, **told))
     start = other.now
@@ -693,7 +693,7 @@
 def test_in_a_crowd_that_a_planner_tells_of_the_worthier_goes_first_and_as_before_without(guided):
     # A payment has more time, so alone a dispatcher sends notices that are nearly late before it. Where more
     # is held than can go in time, that spends what can go on what is worth less.
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     if guided:
         bed.feed(SendAllowance(1, 1.0, for_ms=5000.0, slots_ms=1300.0, slot=1, slots=(1200.0,)))
     else:
@@ -708,7 +708,7 @@
 
 
 def test_an_allowance_of_nothing_holds_until_it_runs_out():
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     bed.feed(SendAllowance(1, 0.0, for_ms=1000.0))
     bed.arrive(1)
     bed.pass_ms(990.0)
@@ -718,7 +718,7 @@
 
 
 def test_a_wait_that_another_was_told_is_heeded():
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     bed.feed(SendAllowance(1, 100.0, for_ms=5000.0, wait_ms=800.0))
     bed.arrive(1)
     bed.pass_ms(780.0)
@@ -728,7 +728,7 @@
 
 
 def test_a_handicap_makes_another_route_the_first():
-    bed = Bed(Entry("w1", 1, kind=1, zone=1), Entry("w2", 1, kind=1, zone=1))
+    bed = DispatcherHarness(Entry("w1", 1, kind=1, zone=1), Entry("w2", 1, kind=1, zone=1))
     bed.feed(SendAllowance("w1", 100.0, for_ms=60_000.0, score_penalty=0.06))
     bed.arrive(1)
     assert bed.where(1) == ["w2"]
@@ -750,7 +750,7 @@
 
 
 def test_of_a_lane_that_is_not_known_nothing_is_kept():
-    bed = Bed(Entry("e1", 1))
+    bed = DispatcherHarness(Entry("e1", 1))
     bed.feed(SendAllowance(99, 1.0))
     assert 99 not in bed.dispatcher.lanes
     assert settings()
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -1,7 +1,7 @@
 """What the decisions do about an earlier process, and about the end of their own."""
 
 import pytest
-from bed import SAFE, UNSAFE, Bed, Entry
+from bed import SAFE, UNSAFE, DispatcherHarness, Entry
 
 from crowpier.interface import (
     ColdStateRestored,
@@ -24,25 +24,25 @@
 
 
 def test_an_unsafe_message_that_may_have_run_fails_at_once():
-    assert Fail(1) in resumed(Bed(ONE), UNSAFE, 1, 500.0)
+    assert Fail(1) in resumed(DispatcherHarness(ONE), UNSAFE, 1, 500.0)
 
 
 @pytest.mark.parametrize(("cls", "ran_ago_ms"), [(UNSAFE, None), (SAFE, 500.0)])
 def test_what_may_be_sent_again_goes_on(cls, ran_ago_ms):
-    assert any(isinstance(action, Send) for action in resumed(Bed(ONE), cls, 2, ran_ago_ms))
+    assert any(isinstance(action, Send) for action in resumed(DispatcherHarness(ONE), cls, 2, ran_ago_ms))
 
 
 def test_attempts_of_an_earlier_process_count():
-    assert Fail(1) in resumed(Bed(ONE), SAFE, 8)
+    assert Fail(1) in resumed(DispatcherHarness(ONE), SAFE, 8)
 
 
 def test_a_message_whose_time_is_up_gets_its_end():
-    assert Fail(1) in resumed(Bed(ONE), SAFE, 1, left_ms=0.0)
+    assert Fail(1) in resumed(DispatcherHarness(ONE), SAFE, 1, left_ms=0.0)
 
 
 def test_an_endpoint_remembered_as_cold_gets_one_call_at_a_time():
     # Guards against pushing over what returns cold after a restart in mid-outage.
-    bed = Bed(ONE)
+    bed = DispatcherHarness(ONE)
     bed.feed(ColdStateRestored("e1", 4.0))
     bed.arrive_together(1, 2, 3)
     assert len(bed.sends()) == 1
@@ -53,7 +53,7 @@
 
 
 def test_an_outage_is_remembered_once():
-    bed, notes = Bed(ONE), []
+    bed, notes = DispatcherHarness(ONE), []
     for number in range(1, 6):
         bed.arrive(number)
         if bed.sends():
@@ -62,7 +62,7 @@
 
 
 def test_no_unsafe_message_is_sent_shortly_before_the_end():
-    bed = Bed(ONE)
+    bed = DispatcherHarness(ONE)
     bed.feed(ShutdownScheduled(3000.0))
     bed.arrive(1, UNSAFE)
     assert bed.sends()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,10 +1,10 @@
-"""The six rules, each by hand; `bed.Bed` asserts them from outside after every batch."""
+"""The six rules, each by hand; `bed.DispatcherHarness` asserts them from outside after every batch."""
 
 import math
 from collections import Counter
 
 import pytest
-from bed import CLASSES, KEYED, ORDERED, SAFE, UNSAFE, Bed
+from bed import CLASSES, KEYED, ORDERED, SAFE, UNSAFE, DispatcherHarness
 
 from crowpier.interface import Entry, ListKind, Outcome, Send, State, Tenant
 
@@ -13,14 +13,14 @@
 
 
 def test_a_timeout_at_the_deadline_still_gets_its_answer():
-    bed = Bed(ONE)
+    bed = DispatcherHarness(ONE)
     bed.arrive(1)
     bed.run_until(bed.since[1] + 6000)
     assert bed.answers[1] in ("fail", "served")
 
 
 def test_unsent_is_refused_and_tried_is_failed_past_the_latest_start():
-    bed = Bed(ONE)
+    bed = DispatcherHarness(ONE)
     bed.arrive(1, destination=9)
     bed.pass_ms(6000)
     assert bed.answers[1] == "refuse"
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_EXECUTED])
 def test_an_unsafe_message_that_never_ran_goes_again(outcome):
-    bed = Bed(ONE, TWO)
+    bed = DispatcherHarness(ONE, TWO)
     bed.arrive(1, UNSAFE)
     bed.end(1, outcome)
     bed.pass_ms(3000, timeouts=False)
@@ -41,14 +41,14 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
 def test_an_unsafe_message_that_may_have_run_is_failed_at_once(outcome):
-    bed = Bed(ONE, TWO)
+    bed = DispatcherHarness(ONE, TWO)
     bed.arrive(1, UNSAFE)
     bed.end(1, outcome)
     assert bed.answers[1] == "fail" and len(bed.sent[1]) == 1
 
 
 def test_a_keyed_message_stays_in_its_group_and_window():
-    bed = Bed(ONE, TWO)
+    bed = DispatcherHarness(ONE, TWO)
     bed.arrive(1, KEYED)
     first = bed.where(1)[0]
     bed.end(1, Outcome.TIMEOUT)
@@ -59,7 +59,7 @@
 
 def test_a_repeat_of_a_keyed_message_tells_the_end_of_its_window():
     # Guards against a repeat that begins later than it was decided, past its window.
-    bed, seen = Bed(ONE, TWO), []
+    bed, seen = DispatcherHarness(ONE, TWO), []
     bed.check = lambda action, check=bed.check: (seen.append(action), check(action))
     bed.arrive(1, KEYED)
     at = bed.sent[1][0][1]
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("news", ["drain", "gone", "left out of the whole list"])
 def test_nothing_new_goes_to_an_endpoint_that_drains_or_is_gone(news):
-    bed = Bed(ONE)
+    bed = DispatcherHarness(ONE)
     if news == "left out of the whole list":
         bed.list(Entry("two", 1))
     else:
@@ -85,7 +85,7 @@
 
 
 def test_a_failed_subscription_is_asked_for_again_and_the_list_stays_valid():
-    bed = Bed(ONE, subscribes=True)
+    bed = DispatcherHarness(ONE, subscribes=True)
     asked = [type(action).__name__ for action in bed.actions].count("Subscribe")
     assert asked == 1
     bed.list(kind=ListKind.FAILED)
@@ -100,7 +100,7 @@
 
 
 def test_a_told_wait_holds_for_the_whole_destination():
-    bed = Bed(ONE, TWO)
+    bed = DispatcherHarness(ONE, TWO)
     bed.arrive(1)
     bed.end(1, Outcome.FULL, wait=800)
     bed.arrive(2)
@@ -111,7 +111,7 @@
 
 
 def test_a_told_wait_holds_for_one_route_where_routes_are_apart():
-    bed = Bed(Entry("one", 1, kind=1), Entry("two", 1, kind=1))
+    bed = DispatcherHarness(Entry("one", 1, kind=1), Entry("two", 1, kind=1))
     bed.arrive(1)
     waiting = bed.where(1)[0]
     bed.end(1, Outcome.FULL, wait=800)
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
 def test_messages_of_a_key_go_in_turn_and_the_key_rests(outcome):
-    bed = Bed(ONE, TWO)
+    bed = DispatcherHarness(ONE, TWO)
     bed.arrive(1, ORDERED, key=7)
     bed.arrive(2, ORDERED, key=7)
     bed.arrive(3, ORDERED, key=8)
@@ -133,7 +133,7 @@
 
 def pushed_after_an_outage(dispatchers: int) -> int:
     """Sends in the first window of the rule after a busy destination's outage ends."""
-    bed = Bed(ONE, slots=40, max_held=4000, dispatchers=dispatchers)
+    bed = DispatcherHarness(ONE, slots=40, max_held=4000, dispatchers=dispatchers)
     message = 0
 
     def traffic(span, outcome):
@@ -163,7 +163,7 @@
 
 
 def test_a_message_withdrawn_by_its_client_is_never_sent_again():
-    bed = Bed(ONE)
+    bed = DispatcherHarness(ONE)
     bed.arrive(1)
     bed.withdraw(1)
     bed.end(1, Outcome.ERROR)
@@ -172,7 +172,7 @@
 
 
 def test_events_for_unknown_or_ended_messages_do_nothing():
-    bed = Bed(ONE)
+    bed = DispatcherHarness(ONE)
     bed.arrive(1, SAFE)
     late = bed.outcome(1, Outcome.OK)
     bed.feed(late)
@@ -180,7 +180,7 @@
 
 
 def test_each_message_of_a_shared_call_may_tell_its_own_wait():
-    bed = Bed(Entry("one", 1, kind=2))
+    bed = DispatcherHarness(Entry("one", 1, kind=2))
     bed.arrive_together(1, 2, 3)
     assert len(bed.dispatcher.destinations[1].calls) == 1, "they share a call"
     for n in (1, 2, 3):
@@ -193,7 +193,7 @@
 
 def test_a_flood_of_one_tenant_yields_to_the_others():
     tenants = (Tenant("calm", 0.5, 4.0), Tenant("flood", 0.5, 4.0))
-    bed = Bed(ONE, TWO, tenants=tenants, over_share_worth=0.2, slots=2, max_held=30)
+    bed = DispatcherHarness(ONE, TWO, tenants=tenants, over_share_worth=0.2, slots=2, max_held=30)
     for n in range(60):
         bed.arrive(n, tenant=1)
     assert list(bed.answers.values()).count("refuse") >= 30
@@ -204,7 +204,7 @@
 
 
 def test_one_refusal_at_a_fresh_endpoint_does_not_slow_it_for_the_whole_warm_up():
-    bed = Bed(ONE)
+    bed = DispatcherHarness(ONE)
     bed.arrive(1)
     bed.end(1, Outcome.FULL, wait=300)
     assert not bed.dispatcher.endpoints["one"].tripped
@@ -213,7 +213,7 @@
 
 
 def test_an_unsafe_message_is_not_given_up_while_its_answer_is_merely_slow():
-    bed = Bed(ONE)
+    bed = DispatcherHarness(ONE)
     bed.arrive(1, UNSAFE)
     bed.pass_ms(8000)
     assert 1 not in bed.answers
@@ -222,7 +222,7 @@
 
 
 def test_connections_dropped_unseen_are_closed_before_they_fail_another_message():
-    bed = Bed(ONE)
+    bed = DispatcherHarness(ONE)
     bed.arrive(1)
     bed.end(1, Outcome.OK)
     bed.pass_ms(2000, timeouts=False)
@@ -238,7 +238,7 @@
 
 
 def test_an_idle_connection_is_not_blamed_while_one_that_idled_as_long_works():
-    bed = Bed(ONE, Entry("other", 2))
+    bed = DispatcherHarness(ONE, Entry("other", 2))
     for number, destination in ((1, 1), (2, 2)):
         bed.arrive(number, destination=destination)
         bed.end(number, Outcome.OK)
@@ -252,14 +252,14 @@
 
 
 def test_failed_connects_at_an_endpoint_that_was_well_close_idle_connections_sooner():
-    bed = Bed(ONE)
+    bed = DispatcherHarness(ONE)
     bed.arrive(1)
     bed.end(1, Outcome.CONNECT_FAILED)
     assert bed.dispatcher.keep_ms() <= bed.settings.conn_idle_ms / 2
 
 
 def test_a_payment_on_an_idled_connection_does_not_hold_its_slot_for_long_while_drops_are_known():
-    bed = Bed(ONE, Entry("other", 2))
+    bed = DispatcherHarness(ONE, Entry("other", 2))
     bed.arrive(1, destination=2)
     bed.end(1, Outcome.CONNECT_FAILED)
     bed.arrive(2)
@@ -271,7 +271,7 @@
 
 
 def test_the_first_success_after_an_outage_lets_no_second_call_follow_at_once():
-    bed = Bed(ONE, dispatchers=200)
+    bed = DispatcherHarness(ONE, dispatchers=200)
     for number in range(1, 5):
         bed.arrive(number)
     bed.answer_all(2000, 50, Outcome.CONNECT_FAILED)
@@ -289,7 +289,7 @@
 
 def test_scarce_slots_go_to_a_whole_batch_before_single_messages():
     # Guards against slots that are full of single calls while a hundred messages wait for one of their own.
-    bed = Bed(ONE, Entry("many", 2, kind=2), slots=4)
+    bed = DispatcherHarness(ONE, Entry("many", 2, kind=2), slots=4)
     many(bed, 1, range(1, 9))  # three of four slots, by the bulkhead
     many(bed, 2, range(10, 13))  # the fourth
     many(bed, 2, range(20, 40))
@@ -300,7 +300,7 @@
 
 def test_slow_destinations_share_half_of_the_slots():
     # Guards against slots that all wait for what is slow while the rest of the partners stand idle.
-    bed = Bed(*(Entry(f"e{n}", n) for n in range(1, 5)), slots=8)
+    bed = DispatcherHarness(*(Entry(f"e{n}", n) for n in range(1, 5)), slots=8)
     for destination in (1, 2, 3):
         many(bed, destination, [10 * destination])
     bed.pass_ms(500, timeouts=False)  # more than twice a usual call, not yet too long to send more
@@ -315,7 +315,7 @@
 def test_an_endpoint_that_hangs_leaves_the_slots_of_its_destination_to_those_that_answer():
     # Guards against one hung endpoint that stops all messages of its destination, and of four others like it.
     hung = [Entry(f"hung{n}", n) for n in range(1, 5)]
-    bed = Bed(*hung, slots=8)
+    bed = DispatcherHarness(*hung, slots=8)
     for destination in range(1, 5):
         many(bed, destination, [10 * destination])
     bed.list(*hung, *(Entry(f"well{n}", n) for n in range(1, 5)), kind=ListKind.DELTA)
@@ -331,7 +331,7 @@
 
 def test_resets_that_other_calls_are_spared_neither_trip_an_endpoint_nor_close_idle_connections():
     # Guards against a network that resets some connections: it is no outage, and idling is not to blame.
-    bed = Bed(ONE)
+    bed = DispatcherHarness(ONE)
     for number in range(1, 13):
         bed.arrive(number)
         bed.pass_ms(50, timeouts=False)
@@ -344,7 +344,7 @@
 
 
 def test_failed_connects_do_not_cut_the_keeping_of_connections_to_nothing():
-    bed = Bed(*(Entry(f"e{n}", n) for n in range(1, 9)))
+    bed = DispatcherHarness(*(Entry(f"e{n}", n) for n in range(1, 9)))
     for number in range(1, 9):
         bed.arrive(number, destination=number)
         bed.end(number, Outcome.CONNECT_FAILED)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,6 +1,6 @@
 """Connections that fall silent: the decisions call off what is most likely lost while messages wait."""
 
-from bed import SAFE, UNSAFE, Bed
+from bed import SAFE, UNSAFE, DispatcherHarness
 
 from crowpier.interface import Cancel, Entry, Outcome
 
@@ -12,7 +12,7 @@
 def silent(cls, waits=True, overtaken=5, **changes):
     """A bed in which message 1 went out on a connection that then fell silent, later ones were delivered by
     the same endpoint, and, where asked, others are held. What was called off, after a while."""
-    bed = Bed(Entry("e1", 1), slots=4, may_cancel=True, **changes)
+    bed = DispatcherHarness(Entry("e1", 1), slots=4, may_cancel=True, **changes)
     for message in range(100, 130):  # what a call usually takes
         bed.arrive(message)
         bed.pass_ms(100, timeouts=False)
@@ -60,7 +60,7 @@
 
 
 def test_it_is_waited_for_where_the_settings_allow_no_calling_off():
-    bed = Bed(Entry("e1", 1), slots=2)
+    bed = DispatcherHarness(Entry("e1", 1), slots=2)
     bed.arrive(1, UNSAFE)
     for message in range(2, 40):
         bed.arrive(message)
@@ -71,7 +71,7 @@
 
 
 def test_an_endpoint_whose_only_call_is_most_likely_lost_gets_one_more_at_a_time():
-    bed = Bed(Entry("e1", 1), slots=8, may_cancel=True)
+    bed = DispatcherHarness(Entry("e1", 1), slots=8, may_cancel=True)
     for message in range(100, 130):
         bed.arrive(message)
         bed.pass_ms(100, timeouts=False)
