--- a/tests/test_any_day.py
+++ b/tests/test_any_day.py
@@ -1,6 +1,6 @@
 """Arbitrary legal events: whatever comes, the rules hold as seen from outside."""
 
-from bed import CLASSES, DispatcherHarness
+from dispatcher_harness import CLASSES, DispatcherHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from bed import DispatcherHarness, Entry
+from dispatcher_harness import DispatcherHarness, Entry
 
 from crowpier import learned
 from crowpier.interface import ColdStateRestored, LearnedStateRestored, Outcome
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from bed import DispatcherHarness
+from dispatcher_harness import DispatcherHarness
 from doubles import PATIENCE_S, ROOT, UNSAFE, WORTH, Program, playing, run
 from test_benchlink import TOLD
 from test_endpoints import Caller
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from bed import settings
+from dispatcher_harness import settings
 from doubles import Peer, run
 
 from crowpier.interface import Outcome, State
--- a/tests/test_full_house.py
+++ b/tests/test_full_house.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from bed import KEYED, ORDERED, SAFE, UNSAFE, DispatcherHarness
+from dispatcher_harness import KEYED, ORDERED, SAFE, UNSAFE, DispatcherHarness
 
 from crowpier import Dispatcher
 from crowpier.interface import Entry, Outcome, Refuse, SendAllowance
--- a/tests/test_lab_rules.py
+++ b/tests/test_lab_rules.py
@@ -4,7 +4,7 @@
 import itertools
 
 import pytest
-from bed import settings
+from dispatcher_harness import settings
 
 from lab import rules
 from lab.history import TOLD_OVER, History
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -4,7 +4,7 @@
 import errno
 
 import pytest
-from bed import SAFE, UNSAFE, DispatcherHarness
+from dispatcher_harness import SAFE, UNSAFE, DispatcherHarness
 from hypothesis import settings as budget
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -5,7 +5,7 @@
 import signal
 
 import pytest
-from bed import SAFE, UNSAFE, DispatcherHarness
+from dispatcher_harness import SAFE, UNSAFE, DispatcherHarness
 from doubles import SAFE as NOTE
 from doubles import UNSAFE as PAY
 from doubles import WORTH, run
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from bed import SAFE, UNSAFE, DispatcherHarness, settings
+from dispatcher_harness import SAFE, UNSAFE, DispatcherHarness, settings
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -1,7 +1,7 @@
 """What the decisions do about an earlier process, and about the end of their own."""
 
 import pytest
-from bed import SAFE, UNSAFE, DispatcherHarness, Entry
+from dispatcher_harness import SAFE, UNSAFE, DispatcherHarness, Entry
 
 from crowpier.interface import (
     ColdStateRestored,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from bed import CLASSES, KEYED, ORDERED, SAFE, UNSAFE, DispatcherHarness
+from dispatcher_harness import CLASSES, KEYED, ORDERED, SAFE, UNSAFE, DispatcherHarness
 
 from crowpier.interface import Entry, ListKind, Outcome, Send, State, Tenant
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,6 +1,6 @@
 """Connections that fall silent: the decisions call off what is most likely lost while messages wait."""
 
-from bed import SAFE, UNSAFE, DispatcherHarness
+from dispatcher_harness import SAFE, UNSAFE, DispatcherHarness
 
 from crowpier.interface import Cancel, Entry, Outcome
 
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field, replace
 
 import pytest
-from bed import settings
+from dispatcher_harness import settings
 from doubles import WORTH, Program, run
 from lives import CALL_S, Life, Partner, virtual
 from test_endings import Unreached
