--- a/tests/test_any_day.py
+++ b/tests/test_any_day.py
@@ -40,32 +40,32 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(TOLD, st.lists(STEP, max_size=60))
 def test_the_rules_hold_on_any_day(told, steps):
-    bed = DispatcherHarness(*ENTRIES, **told)
+    harness = DispatcherHarness(*ENTRIES, **told)
     for number, step in enumerate(steps):
-        play(bed, number, step)
-    bed.pass_ms(30_000)
-    assert set(bed.taken) == set(bed.answers)
+        play(harness, number, step)
+    harness.pass_ms(30_000)
+    assert set(harness.taken) == set(harness.answers)
 
 
-def play(bed, number, step):
+def play(harness, number, step):
     match step:
         case ("arrive", cls, destination, key):
-            bed.arrive(number, cls, destination, key)
-        case ("end", pick, outcome, wait) if bed.out:
-            message, attempt = sorted(bed.out)[pick % len(bed.out)]
-            bed.end(message, outcome, attempt, wait if outcome is Outcome.FULL else 0.0)
+            harness.arrive(number, cls, destination, key)
+        case ("end", pick, outcome, wait) if harness.out:
+            message, attempt = sorted(harness.out)[pick % len(harness.out)]
+            harness.end(message, outcome, attempt, wait if outcome is Outcome.FULL else 0.0)
         case ("pass", span):
-            bed.pass_ms(span)
+            harness.pass_ms(span)
         case ("list", pick, state, kind):
             base = ENTRIES[pick]
             entry = Entry(base.endpoint, base.destination, base.kind, base.zone, state, base.rate_per_s)
             if kind is ListKind.FAILED:
-                told_off = dict(bed.told_off)
-                bed.list(kind=kind)
-                bed.told_off = told_off
+                told_off = dict(harness.told_off)
+                harness.list(kind=kind)
+                harness.told_off = told_off
             else:
-                bed.list(entry, kind=kind)
+                harness.list(entry, kind=kind)
         case ("withdraw", pick):
-            live = [m for m in bed.taken if m not in bed.answers]
+            live = [m for m in harness.taken if m not in harness.answers]
             if live:
-                bed.withdraw(live[pick % len(live)])
+                harness.withdraw(live[pick % len(live)])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -167,29 +167,29 @@
 
 def test_what_was_resumed_untried_is_sent_with_less_time_than_a_call_takes():
     # Guards against a new process's guess of how long calls take, by which messages are given up unsent.
-    bed = DispatcherHarness(Entry("e1", 1))
-    usual = bed.dispatcher.expected_ms["notice"]
+    harness = DispatcherHarness(Entry("e1", 1))
+    usual = harness.dispatcher.expected_ms["notice"]
     for message, left in enumerate((1.0, usual / 4, usual / 2, usual * 2)):
-        bed.since[message], bed.taken[message] = bed.now, resumed(message, left)
-    bed.feed(*bed.taken.values())
-    assert bed.sent.keys() == {0, 1, 2, 3}
+        harness.since[message], harness.taken[message] = harness.now, resumed(message, left)
+    harness.feed(*harness.taken.values())
+    assert harness.sent.keys() == {0, 1, 2, 3}
 
 
 def test_what_was_resumed_with_no_time_left_ends_at_once_and_is_not_sent():
-    bed = DispatcherHarness(Entry("e1", 1))
-    bed.since[1], bed.taken[1] = bed.now, resumed(1, 0.0)
-    bed.feed(bed.taken[1])
-    assert bed.answers[1] == "refuse" and not bed.sent.get(1)
+    harness = DispatcherHarness(Entry("e1", 1))
+    harness.since[1], harness.taken[1] = harness.now, resumed(1, 0.0)
+    harness.feed(harness.taken[1])
+    assert harness.answers[1] == "refuse" and not harness.sent.get(1)
 
 
 def test_a_full_house_that_was_resumed_is_not_shed_unseen():
-    bed = DispatcherHarness(Entry("e1", 1), max_held=10)
+    harness = DispatcherHarness(Entry("e1", 1), max_held=10)
     for message in range(10):
-        bed.since[message], bed.taken[message] = bed.now, resumed(message, 6000.0)
-    bed.feed(*bed.taken.values())
-    assert not bed.answers
-    bed.arrive(10)
-    assert bed.answers.keys() <= {10}
+        harness.since[message], harness.taken[message] = harness.now, resumed(message, 6000.0)
+    harness.feed(*harness.taken.values())
+    assert not harness.answers
+    harness.arrive(10)
+    assert harness.answers.keys() <= {10}
 
 
 @pytest.mark.parametrize("left", [b"m0", b"m1"])
--- a/tests/test_full_house.py
+++ b/tests/test_full_house.py
@@ -33,9 +33,9 @@
         return urgency(self, message)
 
     monkeypatch.setattr(Dispatcher, "urgency", counted)
-    bed = DispatcherHarness(Entry("one", 1), slots=100, max_held=2 * HELD)
-    bed.arrive_together(*range(HELD))
-    calls = len(bed.sends())
+    harness = DispatcherHarness(Entry("one", 1), slots=100, max_held=2 * HELD)
+    harness.arrive_together(*range(HELD))
+    calls = len(harness.sends())
     assert calls >= 30
     assert weighed <= HELD + 2 * calls + 2, "more than each once, and the one that goes"
 
@@ -50,10 +50,10 @@
             asked += 1
             return super().__contains__(key)
 
-    bed = DispatcherHarness(Entry("one", 1), slots=100, max_held=2 * HELD)
-    bed.dispatcher.destinations[1].held = Counted()
-    bed.arrive_together(*range(HELD))
-    calls = len(bed.sends())
+    harness = DispatcherHarness(Entry("one", 1), slots=100, max_held=2 * HELD)
+    harness.dispatcher.destinations[1].held = Counted()
+    harness.arrive_together(*range(HELD))
+    calls = len(harness.sends())
     assert calls >= 30
     assert asked <= 2 * HELD, "a few each, whatever goes"
 
@@ -68,8 +68,8 @@
         return owed.fget(self)
 
     monkeypatch.setattr(Message, "owed", property(counted))
-    bed = DispatcherHarness(Entry("one", 1), slots=1, max_held=HELD)
-    told = bed.feed(*(replace(bed.arrival(n, SAFE, 1), untried=True) for n in range(HELD)))
+    harness = DispatcherHarness(Entry("one", 1), slots=1, max_held=HELD)
+    told = harness.feed(*(replace(harness.arrival(n, SAFE, 1), untried=True) for n in range(HELD)))
     assert not any(isinstance(action, Refuse) for action in told)
     assert looks <= 3 * HELD, "a few each, however many are there"
 
@@ -77,26 +77,28 @@
 @pytest.mark.parametrize("guided", [False, True], ids=["free", "guided"])
 def test_what_goes_is_what_goes_where_all_are_weighed_anew_for_each_call(guided):
     def played(kind):
-        bed, chance = (
+        harness, chance = (
             DispatcherHarness(*ENDPOINTS, slots=12, max_held=2 * HELD, may_cancel=True),
             random.Random("full house"),
         )
-        bed.dispatcher = kind(bed.settings, seed=5)
-        bed.list(*ENDPOINTS)
+        harness.dispatcher = kind(harness.settings, seed=5)
+        harness.list(*ENDPOINTS)
         told, number = [], 0
         for _ in range(150):
             events = []
             for _ in range(chance.randrange(20)):
                 number += 1
                 cls = chance.choice((SAFE, KEYED, UNSAFE, ORDERED))
-                events.append(bed.arrival(number, cls, chance.choice((1, 2)), chance.choice((0, 0, 1, 2))))
+                events.append(
+                    harness.arrival(number, cls, chance.choice((1, 2)), chance.choice((0, 0, 1, 2)))
+                )
             if guided and chance.random() < 0.3:
                 events.append(SendAllowance(chance.choice((1, 2)), chance.choice((2.0, 20.0, 200.0))))
-            for message, attempt in chance.sample(sorted(bed.out), len(bed.out) // 2):
+            for message, attempt in chance.sample(sorted(harness.out), len(harness.out) // 2):
                 outcome = chance.choices((Outcome.OK, Outcome.ERROR, Outcome.FULL), (8, 1, 1))[0]
-                events.append(bed.outcome(message, outcome, attempt, 300.0))
-            told.append(bed.feed(*events))
-            bed.pass_ms(chance.choice((5.0, 40.0, 200.0)))
+                events.append(harness.outcome(message, outcome, attempt, 300.0))
+            told.append(harness.feed(*events))
+            harness.pass_ms(chance.choice((5.0, 40.0, 200.0)))
         assert max(len(moment) for moment in told) >= 5
         return told
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -24,102 +24,102 @@
 
 
 def test_nothing_new_goes_to_an_endpoint_that_was_taken_out_and_what_is_out_may_end():
-    bed = DispatcherHarness(FIRST, SECOND)
-    bed.arrive(1)
-    (out,) = bed.where(1)
-    bed.feed(Detached(out))
-    bed.end(1, Outcome.OK)
+    harness = DispatcherHarness(FIRST, SECOND)
+    harness.arrive(1)
+    (out,) = harness.where(1)
+    harness.feed(Detached(out))
+    harness.end(1, Outcome.OK)
     for message in range(2, 12):
-        bed.arrive(message)
-        bed.end(message, Outcome.OK)
-        assert out not in bed.where(message)
+        harness.arrive(message)
+        harness.end(message, Outcome.OK)
+        assert out not in harness.where(message)
 
 
 def test_a_retry_that_is_due_goes_elsewhere():
-    bed = DispatcherHarness(FIRST, SECOND)
-    bed.arrive(1)
-    (out,) = bed.where(1)
-    bed.end(1, Outcome.ERROR)  # the next try would stay at the first endpoint
-    bed.feed(Detached(out))
-    bed.pass_ms(3000, timeouts=False)
-    assert bed.where(1)[1:] and out not in bed.where(1)[1:]
+    harness = DispatcherHarness(FIRST, SECOND)
+    harness.arrive(1)
+    (out,) = harness.where(1)
+    harness.end(1, Outcome.ERROR)  # the next try would stay at the first endpoint
+    harness.feed(Detached(out))
+    harness.pass_ms(3000, timeouts=False)
+    assert harness.where(1)[1:] and out not in harness.where(1)[1:]
 
 
 def test_where_all_routes_are_out_messages_wait_and_go_once_one_is_back():
-    bed = DispatcherHarness(FIRST, SECOND)
-    bed.feed(Detached("e1"), Detached("e2"))
-    bed.arrive(1)
-    bed.pass_ms(1000)
-    assert not bed.where(1) and 1 not in bed.answers
-    bed.feed(Attached("e2"))
-    bed.pass_ms(1000)
-    assert bed.where(1) == ["e2"]
+    harness = DispatcherHarness(FIRST, SECOND)
+    harness.feed(Detached("e1"), Detached("e2"))
+    harness.arrive(1)
+    harness.pass_ms(1000)
+    assert not harness.where(1) and 1 not in harness.answers
+    harness.feed(Attached("e2"))
+    harness.pass_ms(1000)
+    assert harness.where(1) == ["e2"]
 
 
 def test_where_all_routes_stay_out_a_message_is_refused_in_time():
-    bed = DispatcherHarness(FIRST)
-    bed.feed(Detached("e1"))
-    bed.arrive(1)
-    bed.pass_ms(7000)
-    assert bed.answers[1] == "refuse"
+    harness = DispatcherHarness(FIRST)
+    harness.feed(Detached("e1"))
+    harness.arrive(1)
+    harness.pass_ms(7000)
+    assert harness.answers[1] == "refuse"
 
 
 @pytest.mark.parametrize("state", [State.READY, State.DRAINING])
 def test_the_ban_holds_whatever_the_list_says(state):
-    bed = DispatcherHarness(FIRST, SECOND)
-    bed.feed(Detached("e1"))
-    bed.list(Entry("e1", 1, state=State.GONE), kind=ListKind.DELTA)
-    bed.list(Entry("e1", 1, state=state), kind=ListKind.DELTA)
-    bed.list(FIRST, SECOND)
+    harness = DispatcherHarness(FIRST, SECOND)
+    harness.feed(Detached("e1"))
+    harness.list(Entry("e1", 1, state=State.GONE), kind=ListKind.DELTA)
+    harness.list(Entry("e1", 1, state=state), kind=ListKind.DELTA)
+    harness.list(FIRST, SECOND)
     for message in range(1, 9):
-        bed.arrive(message, destination=1)
-        bed.end(message, Outcome.OK)
-        assert bed.where(message) == ["e2"]
+        harness.arrive(message, destination=1)
+        harness.end(message, Outcome.OK)
+        assert harness.where(message) == ["e2"]
 
 
 def test_an_endpoint_that_was_given_back_is_cold_and_nothing_speaks_against_it():
-    bed = DispatcherHarness(FIRST)
+    harness = DispatcherHarness(FIRST)
     for message in range(20):
-        bed.arrive(message)
-        bed.pass_ms(100, timeouts=False)
-        bed.end(message, Outcome.OK)
-    bed.feed(Detached("e1"))
-    bed.pass_ms(2000)
-    actions = bed.feed(Attached("e1"))
+        harness.arrive(message)
+        harness.pass_ms(100, timeouts=False)
+        harness.end(message, Outcome.OK)
+    harness.feed(Detached("e1"))
+    harness.pass_ms(2000)
+    actions = harness.feed(Attached("e1"))
     assert [a.cold for a in actions if isinstance(a, RecordColdState)] == [True]
-    bed.arrive_together(100, 101, 102, 103, 104)
-    assert len(bed.sends()) <= 1, "a burst for what has just started"
-    bed.answer_all(4000, 50)
-    assert all(bed.answers.get(message) == "served" for message in range(100, 105))
+    harness.arrive_together(100, 101, 102, 103, 104)
+    assert len(harness.sends()) <= 1, "a burst for what has just started"
+    harness.answer_all(4000, 50)
+    assert all(harness.answers.get(message) == "served" for message in range(100, 105))
 
 
 def test_one_that_is_given_back_while_it_is_not_listed_is_cold_when_it_comes():
-    bed = DispatcherHarness(FIRST, SECOND)
-    bed.feed(Detached("e1"))
-    bed.list(Entry("e1", 1, state=State.GONE), kind=ListKind.DELTA)
-    bed.feed(Attached("e1"))
-    bed.list(FIRST, kind=ListKind.DELTA)
-    bed.feed(Detached("e2"))
-    bed.arrive_together(1, 2, 3, 4)
-    assert len(bed.out) == 1
+    harness = DispatcherHarness(FIRST, SECOND)
+    harness.feed(Detached("e1"))
+    harness.list(Entry("e1", 1, state=State.GONE), kind=ListKind.DELTA)
+    harness.feed(Attached("e1"))
+    harness.list(FIRST, kind=ListKind.DELTA)
+    harness.feed(Detached("e2"))
+    harness.arrive_together(1, 2, 3, 4)
+    assert len(harness.out) == 1
 
 
 def test_twice_out_needs_once_in():
-    bed = DispatcherHarness(FIRST)
-    bed.feed(Detached("e1"), Detached("e1"), Attached("e1"))
-    bed.arrive(1)
-    bed.pass_ms(1000, timeouts=False)
-    assert bed.where(1) == ["e1"]
+    harness = DispatcherHarness(FIRST)
+    harness.feed(Detached("e1"), Detached("e1"), Attached("e1"))
+    harness.arrive(1)
+    harness.pass_ms(1000, timeouts=False)
+    assert harness.where(1) == ["e1"]
 
 
 def test_a_batch_that_is_being_gathered_takes_no_rider_to_what_was_taken_out():
-    bed = DispatcherHarness(Entry("e1", 1, kind=2))
-    bed.arrive_together(1, 2, 3)
-    assert len(bed.out) == 3
-    bed.feed(Detached("e1"))
-    bed.arrive(4)
-    bed.pass_ms(500, timeouts=False)
-    assert not bed.where(4)
+    harness = DispatcherHarness(Entry("e1", 1, kind=2))
+    harness.arrive_together(1, 2, 3)
+    assert len(harness.out) == 3
+    harness.feed(Detached("e1"))
+    harness.arrive(4)
+    harness.pass_ms(500, timeouts=False)
+    assert not harness.where(4)
 
 
 class BanMachine(RuleBasedStateMachine):
@@ -127,7 +127,7 @@
 
     def __init__(self):
         super().__init__()
-        self.bed, self.out, self.message = DispatcherHarness(FIRST, SECOND), set(), 0
+        self.harness, self.out, self.message = DispatcherHarness(FIRST, SECOND), set(), 0
         self.listed = {"e1", "e2"}
 
     def note(self, actions):
@@ -138,39 +138,41 @@
     @rule(name=st.sampled_from(["e1", "e2"]))
     def take_out(self, name):
         self.out.add(name)
-        self.note(self.bed.feed(Detached(name)))
+        self.note(self.harness.feed(Detached(name)))
 
     @rule(name=st.sampled_from(["e1", "e2"]))
     def give_back(self, name):
         self.out.discard(name)
-        self.note(self.bed.feed(Attached(name)))
+        self.note(self.harness.feed(Attached(name)))
 
     @rule(name=st.sampled_from(["e1", "e2"]), there=st.booleans())
     def list_again(self, name, there):
         (self.listed.add if there else self.listed.discard)(name)
         state = State.READY if there else State.GONE
-        self.note(self.bed.list(Entry(name, 1, state=state), kind=ListKind.DELTA))
+        self.note(self.harness.list(Entry(name, 1, state=state), kind=ListKind.DELTA))
 
     @rule(cls=st.sampled_from([SAFE, UNSAFE]))
     def hand_in(self, cls):
         self.message += 1
-        if len(self.bed.dispatcher.messages) < 30:
-            self.note(self.bed.arrive(self.message, cls))
+        if len(self.harness.dispatcher.messages) < 30:
+            self.note(self.harness.arrive(self.message, cls))
 
     @rule(ends=st.sampled_from([Outcome.OK, Outcome.ERROR, Outcome.FULL]))
     def answer(self, ends):
-        for message, attempt in list(self.bed.out):
-            self.note(self.bed.end(message, ends, attempt))
+        for message, attempt in list(self.harness.out):
+            self.note(self.harness.end(message, ends, attempt))
 
     @rule(span=st.integers(1, 3000))
     def wait(self, span):
-        self.bed.pass_ms(span)
-        self.note(self.bed.actions)
+        self.harness.pass_ms(span)
+        self.note(self.harness.actions)
 
     @invariant()
     def the_count_of_those_avoided_has_all_that_are_out(self):
-        assert self.bed.dispatcher.count_unavailable() >= len(self.out & set(self.bed.dispatcher.endpoints))
-        assert self.bed.dispatcher.detached == self.out
+        assert self.harness.dispatcher.count_unavailable() >= len(
+            self.out & set(self.harness.dispatcher.endpoints)
+        )
+        assert self.harness.dispatcher.detached == self.out
 
 
 BanMachine.TestCase.settings = budget(
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -39,47 +39,49 @@
 
 def classes(**changes):
     """The bed's settings with another first class."""
-    bed = DispatcherHarness()
-    told = {key: getattr(bed.settings, key) for key in bed.settings.__dataclass_fields__}
+    harness = DispatcherHarness()
+    told = {key: getattr(harness.settings, key) for key in harness.settings.__dataclass_fields__}
     return Settings(**(told | changes))
 
 
 def test_a_message_keeps_its_effect_though_the_class_becomes_unsafe():
-    bed = DispatcherHarness(Entry("e1", 1))
-    bed.arrive(1, SAFE)
-    rest = bed.settings.classes[1:]
-    bed.feed(Reconfigured(classes(classes=(MessageClass("notice", 1500, 6000, effect=Effect.UNSAFE), *rest))))
-    bed.end(1, Outcome.ERROR)
-    bed.pass_ms(2000, timeouts=False)
-    assert len(bed.where(1)) == 2, "it was not sent again"
-    bed.end(1, Outcome.OK)
-    bed.arrive(2, SAFE)  # of the class as it is now
-    bed.end(2, Outcome.ERROR)
-    assert bed.answers[2] == "fail"
+    harness = DispatcherHarness(Entry("e1", 1))
+    harness.arrive(1, SAFE)
+    rest = harness.settings.classes[1:]
+    harness.feed(
+        Reconfigured(classes(classes=(MessageClass("notice", 1500, 6000, effect=Effect.UNSAFE), *rest)))
+    )
+    harness.end(1, Outcome.ERROR)
+    harness.pass_ms(2000, timeouts=False)
+    assert len(harness.where(1)) == 2, "it was not sent again"
+    harness.end(1, Outcome.OK)
+    harness.arrive(2, SAFE)  # of the class as it is now
+    harness.end(2, Outcome.ERROR)
+    assert harness.answers[2] == "fail"
 
 
 def test_a_message_keeps_its_number_of_attempts():
-    bed = DispatcherHarness(Entry("e1", 1), max_attempts=3)
-    bed.arrive(1, SAFE)
-    bed.feed(Reconfigured(classes(max_attempts=1)))
-    bed.arrive(2, SAFE)
+    harness = DispatcherHarness(Entry("e1", 1), max_attempts=3)
+    harness.arrive(1, SAFE)
+    harness.feed(Reconfigured(classes(max_attempts=1)))
+    harness.arrive(2, SAFE)
     for _ in range(3):
-        for message, attempt in list(bed.out):
-            bed.end(message, Outcome.FULL, attempt, wait=50.0)
-        bed.pass_ms(700, timeouts=False)
-    assert len(bed.where(1)) == 3 and len(bed.where(2)) == 1
+        for message, attempt in list(harness.out):
+            harness.end(message, Outcome.FULL, attempt, wait=50.0)
+        harness.pass_ms(700, timeouts=False)
+    assert len(harness.where(1)) == 3 and len(harness.where(2)) == 1
 
 
 def test_a_class_that_was_dropped_goes_with_its_last_message():
-    bed = DispatcherHarness(Entry("e1", 1))
-    bed.arrive(1, UNSAFE)
-    kept = tuple(cls for cls in bed.settings.classes if cls.name != "payment")
-    bed.feed(Reconfigured(classes(classes=kept)))
-    assert "payment" in bed.dispatcher.expected_ms
-    bed.end(1, Outcome.OK)
-    assert bed.answers[1] == "served"
-    bed.feed(Reconfigured(classes(classes=kept)))
-    assert "payment" not in bed.dispatcher.expected_ms
+    harness = DispatcherHarness(Entry("e1", 1))
+    harness.arrive(1, UNSAFE)
+    kept = tuple(cls for cls in harness.settings.classes if cls.name != "payment")
+    harness.feed(Reconfigured(classes(classes=kept)))
+    assert "payment" in harness.dispatcher.expected_ms
+    harness.end(1, Outcome.OK)
+    assert harness.answers[1] == "served"
+    harness.feed(Reconfigured(classes(classes=kept)))
+    assert "payment" not in harness.dispatcher.expected_ms
 
 
 def test_the_history_tells_what_each_message_was_taken_under():
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -625,63 +625,65 @@
 # The decision module heeds it
 
 
-def served(bed, span, every=20.0):
+def served(harness, span, every=20.0):
     """Messages that went in that time, while each is answered at once and more wait."""
-    before = sum(len(sent) for sent in bed.sent.values())
-    stop, number = bed.now + span, 1000 * (1 + len(bed.taken))
-    while bed.now < stop:
-        bed.pass_ms(every, timeouts=False)
-        for message, attempt in list(bed.out):
-            bed.end(message, Outcome.OK, attempt)
-        while len([m for m in bed.taken if m not in bed.answers]) < 6:
+    before = sum(len(sent) for sent in harness.sent.values())
+    stop, number = harness.now + span, 1000 * (1 + len(harness.taken))
+    while harness.now < stop:
+        harness.pass_ms(every, timeouts=False)
+        for message, attempt in list(harness.out):
+            harness.end(message, Outcome.OK, attempt)
+        while len([m for m in harness.taken if m not in harness.answers]) < 6:
             number += 1
-            bed.arrive(number)
-    return sum(len(sent) for sent in bed.sent.values()) - before
+            harness.arrive(number)
+    return sum(len(sent) for sent in harness.sent.values()) - before
 
 
 def test_the_module_keeps_to_the_lower_of_what_it_is_allowed_and_what_it_learned():
-    bed = DispatcherHarness(Entry("e1", 1))
-    free = served(bed, 4000.0)
-    bed.feed(SendAllowance(1, 5.0, for_ms=4100.0))
-    bound = served(bed, 4000.0)
-    bed.pass_ms(200.0)
+    harness = DispatcherHarness(Entry("e1", 1))
+    free = served(harness, 4000.0)
+    harness.feed(SendAllowance(1, 5.0, for_ms=4100.0))
+    bound = served(harness, 4000.0)
+    harness.pass_ms(200.0)
     assert free > 60 and 14 <= bound <= 24
-    assert served(bed, 4000.0) > 60, "its word has run out, and it binds no more"
+    assert served(harness, 4000.0) > 60, "its word has run out, and it binds no more"
 
 
-def goes(bed, until, every=10.0):
+def goes(harness, until, every=10.0):
     """Times at which calls go, while each is answered at once and more wait."""
-    times, number = [], 1000 * (1 + len(bed.taken))
-    while bed.now < until:
-        before = sum(len(sent) for sent in bed.sent.values())
-        while len([m for m in bed.taken if m not in bed.answers]) < 6:
+    times, number = [], 1000 * (1 + len(harness.taken))
+    while harness.now < until:
+        before = sum(len(sent) for sent in harness.sent.values())
+        while len([m for m in harness.taken if m not in harness.answers]) < 6:
             number += 1
-            bed.arrive(number)
-        bed.pass_ms(every, timeouts=False)
-        times += [bed.now] * (sum(len(sent) for sent in bed.sent.values()) - before)
-        for message, attempt in list(bed.out):
-            bed.end(message, Outcome.OK, attempt)
+            harness.arrive(number)
+        harness.pass_ms(every, timeouts=False)
+        times += [harness.now] * (sum(len(sent) for sent in harness.sent.values()) - before)
+        for message, attempt in list(harness.out):
+            harness.end(message, Outcome.OK, attempt)
     return times
 
 
 def test_calls_go_at_the_moments_that_were_told_each_once():
-    bed = DispatcherHarness(Entry("e1", 1))
-    start = bed.now
+    harness = DispatcherHarness(Entry("e1", 1))
+    start = harness.now
     moments = (100.0, 350.0, 600.0)
-    bed.feed(SendAllowance(1, 4.0, for_ms=3000.0, slots_ms=700.0, slot=7, slots=moments))
-    first = goes(bed, start + 120.0)
-    bed.feed(SendAllowance(1, 4.0, for_ms=3000.0, slots_ms=580.0, slot=7, slots=(-20.0, 230.0, 480.0)))
-    times = first + goes(bed, start + 690.0)
+    harness.feed(SendAllowance(1, 4.0, for_ms=3000.0, slots_ms=700.0, slot=7, slots=moments))
+    first = goes(harness, start + 120.0)
+    harness.feed(SendAllowance(1, 4.0, for_ms=3000.0, slots_ms=580.0, slot=7, slots=(-20.0, 230.0, 480.0)))
+    times = first + goes(harness, start + 690.0)
     assert [at - start for at in times] == [pytest.approx(at, abs=20.0) for at in moments]
-    assert len(goes(bed, start + 1400.0)) in (2, 3), "past the last of them the rate holds"
+    assert len(goes(harness, start + 1400.0)) in (2, 3), "past the last of them the rate holds"
 
 
 def test_one_moment_that_was_missed_may_be_used_late_but_not_those_within_a_wait():
-    bed = DispatcherHarness(Entry("e1", 1))
-    bed.feed(SendAllowance(1, 10.0, for_ms=2000.0, slots_ms=900.0, slot=1, slots=(50.0, 150.0, 250.0, 800.0)))
-    bed.pass_ms(400.0)
-    start = bed.now
-    assert len(goes(bed, start + 300.0)) == 1, "of three that nobody used one is kept"
+    harness = DispatcherHarness(Entry("e1", 1))
+    harness.feed(
+        SendAllowance(1, 10.0, for_ms=2000.0, slots_ms=900.0, slot=1, slots=(50.0, 150.0, 250.0, 800.0))
+    )
+    harness.pass_ms(400.0)
+    start = harness.now
+    assert len(goes(harness, start + 300.0)) == 1, "of three that nobody used one is kept"
     other = DispatcherHarness(Entry("e1", 1))
     told = {"for_ms": 2000.0, "slots_ms": 900.0, "slot": 1, "slots": (50.0, 150.0, 250.0, 800.0)}
     other.feed(SendAllowance(1, 10.0, wait_ms=300.0, **told))
@@ -693,45 +695,45 @@
 def test_in_a_crowd_that_a_planner_tells_of_the_worthier_goes_first_and_as_before_without(guided):
     # A payment has more time, so alone a dispatcher sends notices that are nearly late before it. Where more
     # is held than can go in time, that spends what can go on what is worth less.
-    bed = DispatcherHarness(Entry("e1", 1))
+    harness = DispatcherHarness(Entry("e1", 1))
     if guided:
-        bed.feed(SendAllowance(1, 1.0, for_ms=5000.0, slots_ms=1300.0, slot=1, slots=(1200.0,)))
+        harness.feed(SendAllowance(1, 1.0, for_ms=5000.0, slots_ms=1300.0, slot=1, slots=(1200.0,)))
     else:
-        bed.feed(SendAllowance(1, 0.0, for_ms=1200.0))
+        harness.feed(SendAllowance(1, 0.0, for_ms=1200.0))
     for number in range(1, 11):
-        bed.arrive(number, cls=SAFE)
-    bed.pass_ms(1000.0)
-    bed.arrive(11, cls=UNSAFE)
-    assert not bed.sent
-    bed.pass_ms(300.0, timeouts=False)
-    assert (next(iter(bed.sent)) == 11) is guided
+        harness.arrive(number, cls=SAFE)
+    harness.pass_ms(1000.0)
+    harness.arrive(11, cls=UNSAFE)
+    assert not harness.sent
+    harness.pass_ms(300.0, timeouts=False)
+    assert (next(iter(harness.sent)) == 11) is guided
 
 
 def test_an_allowance_of_nothing_holds_until_it_runs_out():
-    bed = DispatcherHarness(Entry("e1", 1))
-    bed.feed(SendAllowance(1, 0.0, for_ms=1000.0))
-    bed.arrive(1)
-    bed.pass_ms(990.0)
-    assert not bed.where(1)
-    bed.pass_ms(100.0)
-    assert bed.where(1) == ["e1"]
+    harness = DispatcherHarness(Entry("e1", 1))
+    harness.feed(SendAllowance(1, 0.0, for_ms=1000.0))
+    harness.arrive(1)
+    harness.pass_ms(990.0)
+    assert not harness.where(1)
+    harness.pass_ms(100.0)
+    assert harness.where(1) == ["e1"]
 
 
 def test_a_wait_that_another_was_told_is_heeded():
-    bed = DispatcherHarness(Entry("e1", 1))
-    bed.feed(SendAllowance(1, 100.0, for_ms=5000.0, wait_ms=800.0))
-    bed.arrive(1)
-    bed.pass_ms(780.0)
-    assert not bed.where(1)
-    bed.pass_ms(100.0)
-    assert bed.where(1) == ["e1"]
+    harness = DispatcherHarness(Entry("e1", 1))
+    harness.feed(SendAllowance(1, 100.0, for_ms=5000.0, wait_ms=800.0))
+    harness.arrive(1)
+    harness.pass_ms(780.0)
+    assert not harness.where(1)
+    harness.pass_ms(100.0)
+    assert harness.where(1) == ["e1"]
 
 
 def test_a_handicap_makes_another_route_the_first():
-    bed = DispatcherHarness(Entry("w1", 1, kind=1, zone=1), Entry("w2", 1, kind=1, zone=1))
-    bed.feed(SendAllowance("w1", 100.0, for_ms=60_000.0, score_penalty=0.06))
-    bed.arrive(1)
-    assert bed.where(1) == ["w2"]
+    harness = DispatcherHarness(Entry("w1", 1, kind=1, zone=1), Entry("w2", 1, kind=1, zone=1))
+    harness.feed(SendAllowance("w1", 100.0, for_ms=60_000.0, score_penalty=0.06))
+    harness.arrive(1)
+    assert harness.where(1) == ["w2"]
 
 
 @pytest.mark.parametrize(
@@ -750,9 +752,9 @@
 
 
 def test_of_a_lane_that_is_not_known_nothing_is_kept():
-    bed = DispatcherHarness(Entry("e1", 1))
-    bed.feed(SendAllowance(99, 1.0))
-    assert 99 not in bed.dispatcher.lanes
+    harness = DispatcherHarness(Entry("e1", 1))
+    harness.feed(SendAllowance(99, 1.0))
+    assert 99 not in harness.dispatcher.lanes
     assert settings()
 
 
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -16,9 +16,9 @@
 ONE = Entry("e1", 1)
 
 
-def resumed(bed, cls, attempts, ran_ago_ms=None, left_ms=4000.0):
-    bed.taken[1], bed.since[1] = MessageAccepted(1, cls, 1, left_ms), bed.now
-    return bed.feed(
+def resumed(harness, cls, attempts, ran_ago_ms=None, left_ms=4000.0):
+    harness.taken[1], harness.since[1] = MessageAccepted(1, cls, 1, left_ms), harness.now
+    return harness.feed(
         MessageAccepted(1, cls, 1, left_ms, attempts=attempts, ran_ago_ms=ran_ago_ms, ran_endpoint="e1")
     )
 
@@ -42,33 +42,33 @@
 
 def test_an_endpoint_remembered_as_cold_gets_one_call_at_a_time():
     # Guards against pushing over what returns cold after a restart in mid-outage.
-    bed = DispatcherHarness(ONE)
-    bed.feed(ColdStateRestored("e1", 4.0))
-    bed.arrive_together(1, 2, 3)
-    assert len(bed.sends()) == 1
-    bed.end(bed.sends()[0].message, Outcome.OK)
-    assert not bed.sends()
-    bed.answer_all(20_000.0, 50.0)
-    assert not bed.out and RecordColdState("e1", False) in bed.arrive(4)
+    harness = DispatcherHarness(ONE)
+    harness.feed(ColdStateRestored("e1", 4.0))
+    harness.arrive_together(1, 2, 3)
+    assert len(harness.sends()) == 1
+    harness.end(harness.sends()[0].message, Outcome.OK)
+    assert not harness.sends()
+    harness.answer_all(20_000.0, 50.0)
+    assert not harness.out and RecordColdState("e1", False) in harness.arrive(4)
 
 
 def test_an_outage_is_remembered_once():
-    bed, notes = DispatcherHarness(ONE), []
+    harness, notes = DispatcherHarness(ONE), []
     for number in range(1, 6):
-        bed.arrive(number)
-        if bed.sends():
-            notes += [a for a in bed.end(number, Outcome.ERROR) if isinstance(a, RecordColdState)]
+        harness.arrive(number)
+        if harness.sends():
+            notes += [a for a in harness.end(number, Outcome.ERROR) if isinstance(a, RecordColdState)]
     assert [(note.endpoint, note.cold) for note in notes] == [("e1", True)]
 
 
 def test_no_unsafe_message_is_sent_shortly_before_the_end():
-    bed = DispatcherHarness(ONE)
-    bed.feed(ShutdownScheduled(3000.0))
-    bed.arrive(1, UNSAFE)
-    assert bed.sends()
-    bed.end(1, Outcome.OK)
-    bed.pass_ms(2500.0)
-    bed.arrive(2, UNSAFE)
-    assert not bed.sends()
-    bed.arrive(3, SAFE)
-    assert [send.message for send in bed.sends()] == [3]
+    harness = DispatcherHarness(ONE)
+    harness.feed(ShutdownScheduled(3000.0))
+    harness.arrive(1, UNSAFE)
+    assert harness.sends()
+    harness.end(1, Outcome.OK)
+    harness.pass_ms(2500.0)
+    harness.arrive(2, UNSAFE)
+    assert not harness.sends()
+    harness.arrive(3, SAFE)
+    assert [send.message for send in harness.sends()] == [3]
