--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -1185,7 +1185,7 @@
                 message.first = call.endpoint
             self.attempt(message, call)
 
-    def held(self) -> dict[int, tuple[int, float]]:
+    def held_by_destination(self) -> dict[int, tuple[int, float]]:
         """Messages that are held and their worth, by destination: what a planner asks for."""
         return {
             number: (len(destination.held), sum(message.worth for message in destination.held.values()))
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -103,7 +103,7 @@
         self.history = history or History()  # of settings: what messages were taken under
         self.figures = Figures(self.classes)
         self.bans = bans  # endpoints that operators took out
-        self.limits = Limits(settings.dispatchers, self.note, dispatcher.held)
+        self.limits = Limits(settings.dispatchers, self.note, dispatcher.held_by_destination)
         self.listing = Listing(settings, codecs or {}, self.endpoints, journal, self.limits, self.note)
         self.inherited: dict[tuple[int, int], InheritedAttempt] = {}  # an earlier process ends them
         self.call_back: Callable[[int, int], None] = lambda message, attempt: None  # one of them
