--- a/crowpier/benchlink.py
+++ b/crowpier/benchlink.py
@@ -102,7 +102,7 @@
     )
 
 
-def settings_of(text: bytes) -> api.Settings:
+def parse_settings(text: bytes) -> api.Settings:
     """The wire's `options` as settings; unknown keys are ignored."""
     try:
         told = json.loads(text)
@@ -141,7 +141,7 @@
         connect_timeout_ms=get("policyLimits.connectTimeoutMs"),
         conn_idle_ms=get("policyLimits.connIdleMs"),
         subscribes=get("discovery", str) == "on_request",
-        told_rates=get("weights", str) != "off",
+        advertised_rates=get("weights", str) != "off",
         worth_halves=get("familyInfo.losesWorth", str) == "halves",
         over_share_worth=told.get("overShareWorth", 1.0),
         answer_slack_ms=get("guarantees.answerSlackMs"),
@@ -210,7 +210,7 @@
             self.fault(instance, error)
             return
         for action in actions:
-            if not isinstance(action, api.Remember):  # what dies here leaves nothing behind
+            if not isinstance(action, api.RecordColdState):  # what dies here leaves nothing behind
                 self.out.append(self.encode(instance, action))
 
     def fault(self, instance: int, error: Exception) -> None:
@@ -248,7 +248,7 @@
         text = self.take_bytes(size)
         self.inbox.pop(instance, None)
         try:
-            self.dispatchers[instance] = Dispatcher(settings_of(text), seed)
+            self.dispatchers[instance] = Dispatcher(parse_settings(text), seed)
         except (ValueError, TypeError, AttributeError) as error:
             raise WireError(f"{error} (instance {instance}, before byte {self.at})") from None
 
@@ -266,12 +266,13 @@
         entries: tuple[api.Entry, ...] = ()
         if kind is not api.ListKind.FAILED:
             entries = self.code(self.tables, number, "inventory")
-        self.note(instance, api.Listed(kind, version, entries))
+        self.note(instance, api.EndpointListReceived(kind, version, entries))
 
     def read_arrival(self) -> None:
         instance, message, cls, tenant, key, left, _hint, destination, marks = self.take(ARRIVAL)
         self.note(
-            instance, api.Arrived(message, cls, int(destination), left, tenant, key, bool(marks & MARK_AGAIN))
+            instance,
+            api.MessageAccepted(message, cls, int(destination), left, tenant, key, bool(marks & MARK_AGAIN)),
         )
 
     def read_started(self) -> None:
@@ -291,7 +292,7 @@
 
     def read_reminder(self) -> None:
         instance, token = self.take(REMINDER)
-        self.note(instance, api.Reminded(token))
+        self.note(instance, api.TimerFired(token))
 
     def read_stop(self) -> None:
         (instance,) = self.take(STOP)
@@ -312,7 +313,7 @@
         match action:
             case api.Send(message, endpoint, stop_at):
                 return SUBMIT_TO.pack(1040, instance, message, self.raw[endpoint], stop_at)
-            case api.Remind(in_ms, token):
+            case api.SetTimer(in_ms, token):
                 return REMIND.pack(1030, instance, in_ms, token)
             case api.Cancel(message, attempt):
                 return CANCEL.pack(1060, instance, message, attempt)
@@ -322,7 +323,7 @@
                 return BOUNCE.pack(1050, instance, message, stay_away)
             case api.Probe(endpoint):
                 return SAMPLE.pack(1020, instance, self.raw[endpoint])
-            case api.HangUp(endpoint):
+            case api.CloseIdleConnections(endpoint):
                 return HANG_UP.pack(1100, instance, self.raw[endpoint])
             case api.Subscribe():
                 return SUBSCRIBE.pack(1000, instance, 1)
--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -55,12 +55,12 @@
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    NOT_EXECUTED = 7
 
     @property
     def never_ran(self) -> bool:
         """True where the outcome proves that the message did not run."""
-        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_EXECUTED)
 
 
 def _check(value: object, key: str, low: float, high: float = math.inf) -> None:
@@ -136,7 +136,7 @@
     connect_timeout_ms: float = 1000.0
     conn_idle_ms: float = 10000.0
     subscribes: bool = False
-    told_rates: bool = False
+    advertised_rates: bool = False
     worth_halves: bool = False
     over_share_worth: float = 1.0
     answer_slack_ms: float = 0.0
@@ -191,7 +191,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class EndpointListReceived:
     """News of the list of endpoints."""
 
     kind: ListKind
@@ -208,7 +208,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lent:
+class AttemptInProgress:
     """An attempt that an earlier process carries to its end. Those of one `call` share a slot."""
 
     attempt: int
@@ -218,7 +218,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
+class MessageAccepted:
     """A message was taken; it must end exactly once, within `left_ms`.
 
     One that an earlier process took comes with the `attempts` it has had, all of which are over. If one may
@@ -239,12 +239,12 @@
     ran_endpoint: str = ""
     untried: bool = False  # an earlier process took it on and made no attempt: it is owed one
     terms: Terms | None = None
-    out: tuple[Lent, ...] = ()
+    out: tuple[AttemptInProgress, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Remembered:
-    """At the start: an earlier process gave `Remember` for the endpoint, and nothing has taken it back."""
+class ColdStateRestored:
+    """At the start: an earlier process gave `RecordColdState` for the endpoint, and nothing has taken it back."""
 
     endpoint: str
     pace_per_s: float
@@ -274,7 +274,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Learned:
+class LearnedStateRestored:
     """What an earlier process had learned (`crowpier.learned.export`); our clock is `ahead_ms` of its."""
 
     told: Mapping[str, Any]
@@ -282,7 +282,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
+class ShutdownScheduled:
     """The process will end `in_ms` from now: what is out by then has no known outcome."""
 
     in_ms: float
@@ -308,8 +308,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dropped:
-    """An idle connection to the endpoint has ended, and no `HangUp` asked for it."""
+class IdleConnectionClosed:
+    """An idle connection to the endpoint has ended, and no `CloseIdleConnections` asked for it."""
 
     endpoint: str
 
@@ -324,7 +324,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reminded:
+class TimerFired:
     """A reminder fell due."""
 
     token: int = 0
@@ -338,10 +338,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
+class SendAllowance:
     """Guidance from outside: what this dispatcher may send on a lane for `for_ms`. The lane is a destination,
     or an endpoint where its routes are apart. The lower holds of this and what is learned here. `wait_ms` is
-    of a wait that another dispatcher was told; `handicap` lowers the score of the lane's endpoints. For
+    of a wait that another dispatcher was told; `score_penalty` lowers the score of the lane's endpoints. For
     `slots_ms`, calls go at the moments `slots` (milliseconds from now), of which the first has the number
     `slot`: one that was told before counts once.
     """
@@ -351,13 +351,13 @@
     burst: float = 1.0
     for_ms: float = 1000.0
     wait_ms: float = 0.0
-    handicap: float = 0.0
+    score_penalty: float = 0.0
     slots_ms: float = 0.0
     slot: int = 0
     slots: tuple[float, ...] = ()
 
     def __post_init__(self) -> None:
-        for key in ("per_s", "for_ms", "wait_ms", "handicap", "slots_ms", "slot"):
+        for key in ("per_s", "for_ms", "wait_ms", "score_penalty", "slots_ms", "slot"):
             if not getattr(self, key) >= 0:
                 raise ValueError(f"allowed: {key} must not be negative, nor {getattr(self, key)!r}")
         if not self.burst >= 1:
@@ -367,20 +367,20 @@
 
 
 Event = (
-    Listed
-    | Arrived
+    EndpointListReceived
+    | MessageAccepted
     | AttemptEnded
-    | Dropped
+    | IdleConnectionClosed
     | ProbeEnded
-    | Reminded
+    | TimerFired
     | Withdrawn
-    | Remembered
-    | Leaving
-    | Allowed
+    | ColdStateRestored
+    | ShutdownScheduled
+    | SendAllowance
     | Detached
     | Attached
     | Reconfigured
-    | Learned
+    | LearnedStateRestored
 )
 
 
@@ -390,11 +390,11 @@
 @dataclass(frozen=True, slots=True)
 class Send:
     """Call the endpoint with the message; the n-th send of a message is its attempt n, counted from 0. From
-    `start_by_ms` on it must not begin any more: a call whose connection comes up later ends as `MOOT`."""
+    `start_by_ms` on it must not begin any more: a call whose connection comes up later ends as `NOT_EXECUTED`."""
 
     message: int
     endpoint: str
-    stop_at_ms: float = 0.0
+    timeout_at_ms: float = 0.0
     start_by_ms: float = math.inf
 
 
@@ -418,7 +418,7 @@
     """Final answer that tells the client that trying again is harmless."""
 
     message: int
-    stay_away_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -429,14 +429,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HangUp:
+class CloseIdleConnections:
     """Close the idle connections to the endpoint."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
-class Remind:
+class SetTimer:
     """Wake the dispatcher after a while, in a later batch."""
 
     in_ms: float
@@ -449,7 +449,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Remember:
+class RecordColdState:
     """Keep beyond the process: the endpoint is `cold`, having taken such a pace before, or no longer is."""
 
     endpoint: str
@@ -464,4 +464,15 @@
     text: str = field(default="")
 
 
-Action = Send | Cancel | Fail | Refuse | Probe | HangUp | Remind | Subscribe | Remember | Log
+Action = (
+    Send
+    | Cancel
+    | Fail
+    | Refuse
+    | Probe
+    | CloseIdleConnections
+    | SetTimer
+    | Subscribe
+    | RecordColdState
+    | Log
+)
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -135,7 +135,7 @@
         self.allowed_until = self.allowed_next = self.slots_until = -math.inf
         self.slots: deque[tuple[int, float]] = deque()  # moments from outside: number, when
         self.slot_used = 0
-        self.handicap = 0.0
+        self.score_penalty = 0.0
 
     def pace_at(self, now: float) -> float:
         """Calls a second that may be sent: cut by refusals, growing by compound with time since. It guards
@@ -163,7 +163,7 @@
             at = max(at, min(self.allowed_next - self.allowed_slack, self.allowed_until))
         return at
 
-    def allow(self, now: float, told: api.Allowed) -> None:
+    def allow(self, now: float, told: api.SendAllowance) -> None:
         """Guidance from those who see all dispatchers: it guards against each learning a limit alone by being
         refused, all overshooting together. It hurts where they are wrong; it runs out by itself."""
         self.heed(now, told.wait_ms)
@@ -172,7 +172,7 @@
         self.allowed_next = min(self.allowed_next, now + told.burst * self.allowed_gap)
         if not told.per_s:
             self.allowed_next = math.inf
-        self.allowed_until, self.handicap = now + told.for_ms, told.handicap
+        self.allowed_until, self.score_penalty = now + told.for_ms, told.score_penalty
         self.slots_until = now + told.slots_ms
         missed = [slot for slot in self.slots if slot[0] < told.slot and slot[1] <= now]
         coming = [(told.slot + n, now + at) for n, at in enumerate(told.slots)]
@@ -254,10 +254,12 @@
 class Call:
     """One call out: a message, or several of one round where the kind takes them together."""
 
-    def __init__(self, number: int, endpoint: Endpoint, message: Message, now: float, usual: float) -> None:
+    def __init__(
+        self, number: int, endpoint: Endpoint, message: Message, now: float, expected_ms: float
+    ) -> None:
         self.number, self.endpoint, self.sent_at = number, endpoint, now
         self.destination = message.destination
-        self.usual, self.cls, self.left, self.judged = usual, message.cls.name, 0, False
+        self.expected_ms, self.cls, self.left, self.judged = expected_ms, message.cls.name, 0, False
         self.riders: list[tuple[Message, int]] = []  # and which of their attempts it is
         self.start_by = math.inf  # else it is not sent: its connection came up too late
         self.lost_at, self.abandoned, self.overtaken = -math.inf, False, 0  # by later calls
@@ -268,14 +270,16 @@
         message.out += 1
         self.left += 1
         self.riders.append((message, number))
-        lost = max(LOST_CALLS * self.usual, LOST_AIMS[message.cls.effect] * message.cls.aim_ms)
+        lost = max(LOST_CALLS * self.expected_ms, LOST_AIMS[message.cls.effect] * message.cls.aim_ms)
         self.lost_at = max(self.lost_at, self.sent_at + lost)
 
 
 class Message:
     """A message that was taken and is not over, or still has attempts out."""
 
-    def __init__(self, event: api.Arrived, terms: api.Terms, destination: Destination, now: float) -> None:
+    def __init__(
+        self, event: api.MessageAccepted, terms: api.Terms, destination: Destination, now: float
+    ) -> None:
         cls = terms.cls
         self.id, self.cls, self.destination, self.most = event.message, cls, destination, terms.max_attempts
         self.key = event.key if cls.in_order else 0
@@ -363,9 +367,9 @@
         self.detached: set[str] = set()  # endpoints taken out by operators, listed or not
         self.returns: set[str] = set()  # those given back while not listed
         self.ends: list[tuple[float, int]] = []
-        self.usual: dict[str, float] = {}  # by class: its calls' usual time
+        self.expected_ms: dict[str, float] = {}  # by class: its calls' usual time
         self.learn_classes(settings.classes)
-        self.used = self.calls_made = 0
+        self.slots_in_use = self.calls_made = 0
         self.slow: set[Endpoint] = set()  # as of the latest dispatch
         self.lent: dict[int, Call] = {}  # by the earlier process's number, within one moment
         self.wakes_at = self.leaves_at = math.inf
@@ -398,21 +402,21 @@
     def take(self, event: api.Event) -> None:
         if isinstance(event, AttemptEnded):
             self.attempt_ended(event)
-        elif isinstance(event, api.Arrived):
+        elif isinstance(event, api.MessageAccepted):
             self.arrived(event)
-        elif isinstance(event, api.Listed):
+        elif isinstance(event, api.EndpointListReceived):
             self.listed(event)
         elif isinstance(event, api.Withdrawn) and event.message in self.messages:
             self.close(self.messages[event.message])
-        elif isinstance(event, api.Reminded):
+        elif isinstance(event, api.TimerFired):
             self.wakes_at = math.inf  # a clock that rounds may wake us a trifle early
-        elif isinstance(event, api.Dropped) and event.endpoint in self.endpoints:
+        elif isinstance(event, api.IdleConnectionClosed) and event.endpoint in self.endpoints:
             del self.endpoints[event.endpoint].idle[:1]
-        elif isinstance(event, api.Remembered) and event.endpoint in self.endpoints:
+        elif isinstance(event, api.ColdStateRestored) and event.endpoint in self.endpoints:
             self.remembered(self.endpoints[event.endpoint], event.pace_per_s)
-        elif isinstance(event, api.Leaving):
+        elif isinstance(event, api.ShutdownScheduled):
             self.leaves_at = self.now + event.in_ms
-        elif isinstance(event, api.Allowed) and event.lane in self.lanes:
+        elif isinstance(event, api.SendAllowance) and event.lane in self.lanes:
             self.lanes[event.lane].allow(self.now, event)
         elif isinstance(event, api.Detached):
             self.detach(event.endpoint)
@@ -420,21 +424,23 @@
             self.attach(event.endpoint)
         elif isinstance(event, api.Reconfigured):
             self.reconfigured(event.settings)
-        elif isinstance(event, api.Learned):
+        elif isinstance(event, api.LearnedStateRestored):
             learned.restore(self, dict(event.told), event.ahead_ms)
 
     # New settings
 
     def learn_classes(self, classes: tuple[api.MessageClass, ...]) -> None:
         for cls in classes:
-            self.usual.setdefault(cls.name, FIRST_USUAL * cls.aim_ms)
+            self.expected_ms.setdefault(cls.name, FIRST_USUAL * cls.aim_ms)
 
     def reconfigured(self, settings: Settings) -> None:
         """Messages hold the terms that they were taken under; a class that is gone goes with the last."""
         self.settings = settings
         held = {message.cls.name for message in self.messages.values()}
         names = held | {cls.name for cls in settings.classes}
-        self.usual = {name: usual for name, usual in self.usual.items() if name in names}
+        self.expected_ms = {
+            name: expected_ms for name, expected_ms in self.expected_ms.items() if name in names
+        }
         self.learn_classes(settings.classes)
         self.quotas = (self.quotas + [-math.inf] * len(settings.tenants))[: len(settings.tenants)]
         for destination in self.destinations.values():
@@ -449,7 +455,7 @@
         if endpoint := self.endpoints.get(name):
             endpoint.detached = True
             endpoint.idle.clear()
-            self.actions.append(api.HangUp(name))
+            self.actions.append(api.CloseIdleConnections(name))
 
     def attach(self, name: str) -> None:
         if name not in self.detached:
@@ -466,9 +472,9 @@
         endpoint.strikes, endpoint.score, endpoint.served_at = 0, max(endpoint.score, PRIOR), -math.inf
         pace = endpoint.lane.part()
         self.remembered(endpoint, pace)
-        self.actions.append(api.Remember(endpoint.name, True, pace))
+        self.actions.append(api.RecordColdState(endpoint.name, True, pace))
 
-    def avoided(self) -> int:
+    def count_unavailable(self) -> int:
         """How many listed endpoints get no ordinary calls now, by operators' word or by the breaker."""
         listed = (e for e in self.endpoints.values() if e.state is not State.GONE)
         return sum(1 for endpoint in listed if endpoint.detached or endpoint.tripped)
@@ -480,7 +486,7 @@
             self.asks, self.ask_at = self.asks + 1, math.inf
             self.actions.append(api.Subscribe())
 
-    def listed(self, news: api.Listed) -> None:
+    def listed(self, news: api.EndpointListReceived) -> None:
         if news.kind is api.ListKind.FAILED:
             # Guards against a stale list: the directory is asked again, ever more rarely, never in step.
             rest = min(RESUBSCRIBE_MS * 2.0 ** min(self.asks, 8) / 2.0, RESUBSCRIBE_TOP_MS)
@@ -546,7 +552,7 @@
                 self.returns.discard(entry.endpoint)
                 self.restarted(endpoint)
         endpoint.state = entry.state
-        if self.settings.told_rates and entry.rate_per_s > 0:
+        if self.settings.advertised_rates and entry.rate_per_s > 0:
             lane = endpoint.lane
             if lane.told_rate == 0.0:  # the pace starts there; refusals and time then move it
                 lane.pace, lane.cut_at = entry.rate_per_s, self.now
@@ -554,7 +560,7 @@
 
     # Messages
 
-    def arrived(self, event: api.Arrived) -> None:
+    def arrived(self, event: api.MessageAccepted) -> None:
         terms = event.terms
         if terms is None:
             if event.cls >= len(self.settings.classes):
@@ -584,7 +590,7 @@
         if len(self.messages) > FULL_HOUSE * self.settings.max_held:
             self.shed()
 
-    def take_over(self, message: Message, lent: api.Lent) -> None:
+    def take_over(self, message: Message, lent: api.AttemptInProgress) -> None:
         """An earlier process has the call out: it holds its slot here and its key's turn until it ends."""
         call = self.lent.get(lent.call)
         if call is None:
@@ -597,7 +603,7 @@
             sent_at = self.now - lent.sent_ago_ms
             call = Call(self.calls_made, endpoint, message, sent_at, self.usual_call(message))
             self.lent[lent.call] = call
-            self.used += 1
+            self.slots_in_use += 1
             destination.calls[call.number] = endpoint.calls[call.number] = call
         message.attempts += [None] * (lent.attempt + 1 - len(message.attempts))
         message.attempts[lent.attempt] = call
@@ -635,11 +641,11 @@
     def latest_start(self, message: Message) -> float:
         """Past this nothing is sent: a usual call would end too late, or a repeat would count twice. What was
         taken on before a restart and never tried goes out for as long as it has any time."""
-        usual = 0.0 if message.owed else self.usual_call(message)
-        return min(message.deadline - usual, message.window_ends)
+        expected_ms = 0.0 if message.owed else self.usual_call(message)
+        return min(message.deadline - expected_ms, message.window_ends)
 
     def usual_call(self, message: Message) -> float:
-        return self.usual[message.cls.name] * max(message.destination.stretch, 1.0)
+        return self.expected_ms[message.cls.name] * max(message.destination.stretch, 1.0)
 
     def end_late(self) -> None:
         while self.ends and self.ends[0][0] <= self.now:
@@ -690,7 +696,7 @@
         message.out -= 1
         if call.abandoned and event.outcome is Outcome.CANCELLED:
             event = replace(event, outcome=Outcome.TIMEOUT)  # and that is what it was
-        if event.outcome is Outcome.MOOT and self.now >= call.start_by - LOOKS_MS:
+        if event.outcome is Outcome.NOT_EXECUTED and self.now >= call.start_by - LOOKS_MS:
             call.endpoint.came_up = True
             event = replace(event, outcome=Outcome.CONNECT_FAILED)
         self.settle(call, event)
@@ -709,19 +715,19 @@
         """Free the slot when all messages of the call are back; learn from a call once."""
         call.left -= 1
         if not call.left:
-            self.used -= 1
+            self.slots_in_use -= 1
             del call.destination.calls[call.number], call.endpoint.calls[call.number]
             self.note_connection(call, event)
             if call.endpoint.state is State.GONE:
                 self.remove(call.endpoint)
         call.endpoint.lane.heed(self.now, event.wait_ms)  # each message of a call may tell a wait of its own
-        if call.judged or event.outcome in (Outcome.MOOT, Outcome.CANCELLED):
+        if call.judged or event.outcome in (Outcome.NOT_EXECUTED, Outcome.CANCELLED):
             return
         call.judged = True
         if event.outcome is Outcome.CONNECT_FAILED and not call.endpoint.strikes:
-            self.distrust(max(self.keep_ms(), KEEP_FULL * self.settings.conn_idle_ms))
+            self.shorten_keep_alive(max(self.keep_ms(), KEEP_FULL * self.settings.conn_idle_ms))
         elif call.idle_ms and event.outcome in (Outcome.RESET, Outcome.TIMEOUT) and not self.lasts(call):
-            self.distrust(call.idle_ms)
+            self.shorten_keep_alive(call.idle_ms)
             return
         self.learn(call.endpoint, event.outcome, call.sent_at, event.wait_ms)
         if event.outcome is Outcome.OK:
@@ -754,7 +760,7 @@
         """Another call was answered of late on a connection that had idled as long: it is not to blame."""
         return self.proven >= call.idle_ms and self.proven_at >= call.sent_at - FLOW_MS
 
-    def distrust(self, idle_ms: float) -> None:
+    def shorten_keep_alive(self, idle_ms: float) -> None:
         self.keep = max(min(self.keep_ms(), KEEP_CUT * idle_ms), KEEP_LEAST * self.settings.conn_idle_ms)
         self.keep_at = self.now
 
@@ -764,18 +770,18 @@
             endpoint = self.parked.popleft()[1]
             if endpoint.idle and endpoint.idle[0] <= oldest:
                 endpoint.idle.clear()
-                self.actions.append(api.HangUp(endpoint.name))
+                self.actions.append(api.CloseIdleConnections(endpoint.name))
 
     def time_call(self, call: Call, took: float) -> None:
         if call.idle_ms >= self.proven or self.now - self.proven_at > FLOW_MS:
             self.proven, self.proven_at = call.idle_ms, self.now
-        if call.cls not in self.usual:  # its class was dropped, and its last message withdrawn
+        if call.cls not in self.expected_ms:  # its class was dropped, and its last message withdrawn
             return
-        ratio = took / self.usual[call.cls]
+        ratio = took / self.expected_ms[call.cls]
         destination = call.destination
         destination.stretch += STRETCH_GAIN * (ratio - destination.stretch)
         expected = took / max(destination.stretch, LEAST_STRETCH)
-        self.usual[call.cls] += USUAL_GAIN * (expected - self.usual[call.cls])
+        self.expected_ms[call.cls] += USUAL_GAIN * (expected - self.expected_ms[call.cls])
 
     def learn(self, endpoint: Endpoint, outcome: Outcome, sent_at: float, told_wait: float) -> None:
         """Score the endpoint, keep its lane's limit and its breaker."""
@@ -822,7 +828,7 @@
         gap = math.inf
         if not endpoint.cold:
             endpoint.cold, gap = True, BLINK_TRIAL_MS
-            self.actions.append(api.Remember(endpoint.name, True, endpoint.lane.part()))
+            self.actions.append(api.RecordColdState(endpoint.name, True, endpoint.lane.part()))
         endpoint.tripped = True
         if gap < math.inf and (not early or self.doubted(endpoint.lane)):  # no blink: as after a restart
             endpoint.opens_at = self.now + self.cold_gap(endpoint) * self.random.random()
@@ -879,7 +885,7 @@
 
     def warmed(self, endpoint: Endpoint) -> None:
         endpoint.warm, endpoint.cold = 1.0, False
-        self.actions.append(api.Remember(endpoint.name, False))
+        self.actions.append(api.RecordColdState(endpoint.name, False))
 
     def cold_gap(self, endpoint: Endpoint) -> float:
         """Time between calls to an endpoint that is cold: our part of what it can do, as told or observed."""
@@ -902,7 +908,7 @@
             return
         if outcome in (Outcome.ERROR, Outcome.RESET) and call.endpoint is message.first and message.retries:
             message.retries -= 1
-        elif outcome is not Outcome.MOOT:
+        elif outcome is not Outcome.NOT_EXECUTED:
             message.retries = 0
             if message.plans is None:
                 message.plans = self.plan(message)
@@ -931,7 +937,7 @@
             - LOAD_DISCOUNT * len(endpoint.calls)
             - FEE_DISCOUNT * fee
             - (0.0 if endpoint.idle else COLD_CONN_DISCOUNT)
-            - (endpoint.lane.handicap if self.now < endpoint.lane.allowed_until else 0.0)
+            - (endpoint.lane.score_penalty if self.now < endpoint.lane.allowed_until else 0.0)
         )
 
     def ranked(self, endpoints: list[Endpoint]) -> list[Endpoint]:
@@ -993,7 +999,7 @@
         """Guards against filling slots with calls to what hangs: the oldest call is long overdue and nothing
         has been answered since it went."""
         call = next(iter(endpoint.calls.values()), None)
-        late = call is not None and self.now - call.sent_at > SILENT_CALL * call.usual
+        late = call is not None and self.now - call.sent_at > SILENT_CALL * call.expected_ms
         return late and endpoint.answered_at < call.sent_at
 
     def doubted(self, lane: Lane) -> bool:
@@ -1021,7 +1027,7 @@
 
     def slow_call(self, endpoint: Endpoint) -> Call | None:
         oldest = next(iter(endpoint.calls.values()), None)
-        return oldest if oldest and self.now - oldest.sent_at > SLOW_CALL * oldest.usual else None
+        return oldest if oldest and self.now - oldest.sent_at > SLOW_CALL * oldest.expected_ms else None
 
     def no_slot(self, endpoint: Endpoint) -> bool:
         """Slow endpoints share one part of the slots, with all destinations together. It guards against slots
@@ -1092,18 +1098,18 @@
         """What a call saves for the time that it holds its slot: urgency, of all that it takes along. It
         guards against slots that are full of calls to what is slow; there messages wait longer."""
         batch = 1 if targets[0].tripped or len(targets) > 1 else self.settings.kinds[targets[0].kind].batch
-        lasts = self.usual[message.cls.name] * max(message.destination.stretch, LEAST_STRETCH)
+        lasts = self.expected_ms[message.cls.name] * max(message.destination.stretch, LEAST_STRETCH)
         return self.urgency(message) * min(batch, waiting) / lasts
 
     def dispatch(self) -> None:
         """Send the most urgent messages while slots last."""
         choices = {}
         self.lines.clear()
-        if self.used < self.settings.slots:
+        if self.slots_in_use < self.settings.slots:
             self.slow = {endpoint for endpoint in self.endpoints.values() if self.is_slow(endpoint)}
             bests = ((number, self.best_held(held)) for number, held in self.destinations.items())
             choices = {number: best for number, best in bests if best}
-        while choices and self.used < self.settings.slots:
+        while choices and self.slots_in_use < self.settings.slots:
             number = max(choices, key=lambda n: choices[n][0])
             _, message, targets = choices.pop(number)
             self.send(message, targets)
@@ -1125,7 +1131,7 @@
 
     def send(self, message: Message, targets: list[Endpoint]) -> None:
         destination = message.destination
-        room = min(self.settings.slots - self.used, self.cap(destination) - len(destination.calls))
+        room = min(self.settings.slots - self.slots_in_use, self.cap(destination) - len(destination.calls))
         room = min(room, message.most - len(message.attempts))
         targets = targets[: max(room, 1)]
         if message.first is None:
@@ -1141,9 +1147,9 @@
 
     def call(self, message: Message, endpoint: Endpoint) -> Call:
         self.calls_made += 1
-        destination, usual = message.destination, self.usual_call(message)
-        call = Call(self.calls_made, endpoint, message, self.now, usual)
-        self.used += 1
+        destination, expected_ms = message.destination, self.usual_call(message)
+        call = Call(self.calls_made, endpoint, message, self.now, expected_ms)
+        self.slots_in_use += 1
         destination.calls[call.number] = endpoint.calls[call.number] = call
         guided = self.now < endpoint.lane.allowed_until  # dispatchers with like shares must not act in step
         endpoint.lane.note_sent(self.now, self.random.uniform(*JITTER) if guided else 1.0)
@@ -1160,7 +1166,7 @@
         aims = TIMEOUT_AIMS[message.cls.effect]
         if call.idle_ms and self.keep_ms() < self.settings.conn_idle_ms:  # it may have been dropped unseen
             aims *= DOUBTED_SHARE
-        patience = max(TIMEOUT_CALLS * call.usual, aims * message.cls.aim_ms)
+        patience = max(TIMEOUT_CALLS * call.expected_ms, aims * message.cls.aim_ms)
         stop_at = min(self.now + patience, message.deadline)
         doubted = call.endpoint.tripped or self.doubted(call.endpoint.lane)
         if doubted and not call.endpoint.came_up:  # what waits through an outage would come in as it ends
@@ -1179,7 +1185,7 @@
                 message.first = call.endpoint
             self.attempt(message, call)
 
-    def held(self) -> dict[int, tuple[int, float]]:
+    def held_by_destination(self) -> dict[int, tuple[int, float]]:
         """Messages that are held and their worth, by destination: what a planner asks for."""
         return {
             number: (len(destination.held), sum(message.worth for message in destination.held.values()))
@@ -1192,14 +1198,14 @@
     def set_alarm(self) -> None:
         """Keep one reminder ahead: the earliest moment at which something held could change."""
         at = min(self.ask_at, self.ends[0][0] if self.ends else math.inf)
-        if self.used < self.settings.slots:
+        if self.slots_in_use < self.settings.slots:
             for destination in self.destinations.values():
                 if destination.held:
                     at = min(at, self.next_chance(destination))
         at = max(at, self.now + self.settings.tick_ms)
         if at < self.wakes_at:
             self.wakes_at = at
-            self.actions.append(api.Remind(at - self.now))
+            self.actions.append(api.SetTimer(at - self.now))
 
     def next_chance(self, destination: Destination) -> float:
         message = next(iter(destination.held.values()))
--- a/lab/cold.py
+++ b/lab/cold.py
@@ -220,18 +220,18 @@
     def start(self, index: int, *known: api.Event) -> None:
         self.dispatchers[index] = Dispatcher(self.settings, self.chance.randrange(1 << 30))
         entries = tuple(Entry(name, 1) for name in self.names)
-        self.feed(index, api.Listed(api.ListKind.FULL, 1, entries), *known)
+        self.feed(index, api.EndpointListReceived(api.ListKind.FULL, 1, entries), *known)
 
     def feed(self, index: int, *events: api.Event) -> None:
         for action in self.dispatchers[index].handle(self.now, list(events)):
             match action:
-                case api.Send(number, name, stop_at_ms=stop_at, start_by_ms=start_by):
+                case api.Send(number, name, timeout_at_ms=stop_at, start_by_ms=start_by):
                     self.call(index, number, name, stop_at, start_by)
-                case api.Remind(in_ms):
-                    self.later(index, self.now + in_ms, lambda i=index: self.feed(i, api.Reminded(0)))
+                case api.SetTimer(in_ms):
+                    self.later(index, self.now + in_ms, lambda i=index: self.feed(i, api.TimerFired(0)))
                 case api.Refuse(number) | api.Fail(number):
                     self.owners.pop(number, None)
-                case api.Remember(name, cold, pace):
+                case api.RecordColdState(name, cold, pace):
                     self.cold.pop((index, name), None)
                     if cold:
                         self.cold[index, name] = pace
@@ -285,7 +285,7 @@
             if self.back < limit and way == "late" and self.back < start_by:
                 self.later(index, self.back, served)
             elif self.back < limit and way == "late":
-                self.later(index, self.back, lambda: end(Outcome.MOOT))
+                self.later(index, self.back, lambda: end(Outcome.NOT_EXECUTED))
             elif self.back < limit:
                 self.later(index, self.back, lambda: end(Outcome.CONNECT_FAILED))
             else:
@@ -328,7 +328,7 @@
         if self.back <= self.now:
             self.asked += CLASSES[cls].worth
         self.owners[number] = index
-        self.feed(index, api.Arrived(number, cls, 1, CLASSES[cls].deadline_ms))
+        self.feed(index, api.MessageAccepted(number, cls, 1, CLASSES[cls].deadline_ms))
 
     def kill(self, index: int, up_at: float) -> None:
         del self.dispatchers[index]
@@ -345,7 +345,9 @@
             return
         known: list[api.Event] = []
         known += [
-            api.Remembered(name, self.cold[index, name]) for name in self.names if (index, name) in self.cold
+            api.ColdStateRestored(name, self.cold[index, name])
+            for name in self.names
+            if (index, name) in self.cold
         ]
         for number in mine:
             at, cls = self.taken[number]
@@ -354,7 +356,9 @@
             ran_ago = None if since is None else self.now - since
             tried = self.attempts.get(number, 0)
             known.append(
-                api.Arrived(number, cls, 1, left, attempts=tried, ran_ago_ms=ran_ago, ran_endpoint=where)
+                api.MessageAccepted(
+                    number, cls, 1, left, attempts=tried, ran_ago_ms=ran_ago, ran_endpoint=where
+                )
             )
         self.start(index, *known)
 
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -61,7 +61,10 @@
 ANSWER_MARGIN_S = 0.1  # a client's message is so much older than we know, at most: it waited on its way here
 ENDED_SHARE = 0.5  # of the room for live messages: identities remembered past their end take no more
 ACCEPTED = 202
-RAN = {Verdict.NOT_RUN: Outcome.MOOT, Verdict.RAN: Outcome.ERROR}  # what a negative acknowledgement means
+RAN = {
+    Verdict.NOT_RUN: Outcome.NOT_EXECUTED,
+    Verdict.RAN: Outcome.ERROR,
+}  # what a negative acknowledgement means
 ACK_MARGIN_S = 0.1  # before its time is up, a message that no acknowledgement has come for is failed
 REFUSED_NOTICE, FAILED_NOTICE = "bounced", "dead"  # ends as the platform is told them
 RETRY_S = 0.25  # between two tries to write what a full disk did not take
@@ -100,7 +103,7 @@
         self.history = history or History()  # of settings: what messages were taken under
         self.figures = Figures(self.classes)
         self.bans = bans  # endpoints that operators took out
-        self.limits = Limits(settings.dispatchers, self.note, dispatcher.held)
+        self.limits = Limits(settings.dispatchers, self.note, dispatcher.held_by_destination)
         self.listing = Listing(settings, codecs or {}, self.endpoints, journal, self.limits, self.note)
         self.inherited: dict[tuple[int, int], InheritedAttempt] = {}  # an earlier process ends them
         self.call_back: Callable[[int, int], None] = lambda message, attempt: None  # one of them
@@ -250,7 +253,7 @@
         self.fresh.append(message)
         self.fresh_bytes += RECORD_ROOM + size
         self.note(
-            api.Arrived(
+            api.MessageAccepted(
                 message.number,
                 self.classes[offer.cls],
                 offer.destination,
@@ -365,7 +368,7 @@
         age = self.steady() - ran[1] if ran else 0.0
         self.aging[message.number] = self.loop.time()
         self.note(
-            api.Arrived(
+            api.MessageAccepted(
                 message.number,
                 self.classes.get(kept.cls, 0),
                 kept.destination,
@@ -379,7 +382,9 @@
                 untried=untried,
                 terms=terms,
                 out=tuple(
-                    api.Lent(o.attempt, o.endpoint, o.call, (self.loop.time() - o.started) * 1000.0)
+                    api.AttemptInProgress(
+                        o.attempt, o.endpoint, o.call, (self.loop.time() - o.started) * 1000.0
+                    )
                     for o in loans
                 ),
             )
@@ -463,7 +468,7 @@
 
     def leaving(self, at: float) -> None:
         """The process ends at that time of the event loop's clock."""
-        self.note(api.Leaving((at - self.loop.time()) * 1000.0))
+        self.note(api.ShutdownScheduled((at - self.loop.time()) * 1000.0))
 
     def attempt_ended(self, result: Result) -> None:
         message = self.messages[result.attempt.message]
@@ -523,7 +528,7 @@
         self.forget(message)
 
     def dropped(self, endpoint: str) -> None:
-        self.note(api.Dropped(endpoint))
+        self.note(api.IdleConnectionClosed(endpoint))
 
     def withdrawn(self, endpoint: str) -> None:
         if (gate := self.listing.gate) is not None and endpoint in self.listing.rows:
@@ -547,7 +552,7 @@
             aging, self.aging = self.aging, {}
             events = [
                 older(event, (now - aging[event.message]) * 1000.0)
-                if isinstance(event, api.Arrived) and event.message in aging
+                if isinstance(event, api.MessageAccepted) and event.message in aging
                 else event
                 for event in events
             ]
@@ -585,7 +590,7 @@
             wanted = []
             for attempt in attempts:
                 if self.messages[attempt.message].stage is not Stage.ACCEPTED:  # while the disk was at work
-                    self.attempt_ended(Result(attempt, endpoint, Outcome.MOOT, 0.0))
+                    self.attempt_ended(Result(attempt, endpoint, Outcome.NOT_EXECUTED, 0.0))
                 else:
                     wanted.append(attempt)
             if wanted:
@@ -648,18 +653,18 @@
                 self.reject(message)
         for endpoint, attempts in sends.items():
             for attempt in attempts:
-                self.attempt_ended(Result(attempt, endpoint, Outcome.MOOT, 0.0))
+                self.attempt_ended(Result(attempt, endpoint, Outcome.NOT_EXECUTED, 0.0))
 
     def act(self, action: api.Action, sends: dict[str, list[Attempt]]) -> None:
         match action:
             case api.Send() if self.lifecycle.phase is not Phase.SERVING:
                 pass  # the process that goes on decides anew
-            case api.Send(number, endpoint, stop_at_ms, start_by_ms):
+            case api.Send(number, endpoint, timeout_at_ms, start_by_ms):
                 message = self.messages[number]
                 kept, attempt = message.kept, message.attempts
                 message.attempts += 1
                 message.out.add(attempt)
-                stop_at = min(stop_at_ms / 1000.0, message.due)
+                stop_at = min(timeout_at_ms / 1000.0, message.due)
                 sends.setdefault(endpoint, []).append(
                     Attempt(
                         number,
@@ -677,8 +682,8 @@
                 )
             case api.Fail(number):
                 self.answer_end(self.messages[number], "dead", 0.0)
-            case api.Refuse(number, stay_away_ms):
-                self.answer_end(self.messages[number], "bounced", stay_away_ms)
+            case api.Refuse(number, retry_after_ms):
+                self.answer_end(self.messages[number], "bounced", retry_after_ms)
             case api.Cancel(number, attempt):
                 held = self.messages.get(number)
                 if held is not None and (result := held.pending) and result.attempt.number == attempt:
@@ -690,15 +695,15 @@
                     self.call_back(number, attempt)
                 else:
                     self.endpoints.cancel(number, attempt)
-            case api.Remind(in_ms, token):
+            case api.SetTimer(in_ms, token):
                 if self.reminder is not None:  # the module asks anew only for an earlier time
                     self.reminder.cancel()
-                self.reminder = self.loop.call_later(in_ms / 1000.0, self.note, api.Reminded(token))
+                self.reminder = self.loop.call_later(in_ms / 1000.0, self.note, api.TimerFired(token))
             case api.Probe(endpoint):
                 self.endpoints.probe(endpoint, self.probe_ended)
-            case api.HangUp(endpoint):
+            case api.CloseIdleConnections(endpoint):
                 self.endpoints.hang_up(endpoint)
-            case api.Remember(endpoint, cold, pace_per_s):
+            case api.RecordColdState(endpoint, cold, pace_per_s):
                 if cold:
                     self.journal.chill(endpoint, pace_per_s)
                 else:
@@ -871,7 +876,7 @@
         return False
 
 
-def older(event: api.Arrived, by_ms: float) -> api.Arrived:
+def older(event: api.MessageAccepted, by_ms: float) -> api.MessageAccepted:
     """The same a while later. Guards against windows that seem longer by the time from the look at an age to
     the turn in which the module hears of it: at a start with many messages, that may be long."""
     ran_ago_ms = None if event.ran_ago_ms is None else event.ran_ago_ms + by_ms
--- a/tests/bed.py
+++ b/tests/dispatcher_harness.py
@@ -4,28 +4,28 @@
 
 from crowpier import Dispatcher
 from crowpier.interface import (
-    Arrived,
     AttemptEnded,
     Cancel,
+    CloseIdleConnections,
     Effect,
+    EndpointListReceived,
     Entry,
     Fail,
     Group,
-    HangUp,
     Kind,
-    Listed,
     ListKind,
+    MessageAccepted,
     MessageClass,
     Outcome,
     Probe,
+    RecordColdState,
     Refuse,
-    Remember,
-    Remind,
-    Reminded,
     Send,
+    SetTimer,
     Settings,
     State,
     Subscribe,
+    TimerFired,
     Withdrawn,
 )
 
@@ -53,14 +53,14 @@
     return Settings(**(told | changes))
 
 
-class Bed:
+class DispatcherHarness:
     """Feeds events, keeps what is out, and asserts from outside what must hold after every batch."""
 
     def __init__(self, *entries: Entry, **changes) -> None:
         self.settings = settings(**changes)
         self.dispatcher = Dispatcher(self.settings, seed=5)
         self.now = 1000.0
-        self.taken: dict[int, Arrived] = {}
+        self.taken: dict[int, MessageAccepted] = {}
         self.since: dict[int, float] = {}
         self.sent: dict[int, list[tuple[str, float, float]]] = {}
         self.out: dict[tuple[int, int], str] = {}
@@ -93,7 +93,7 @@
                 self.told_off.pop(entry.endpoint, None)
             else:
                 self.told_off.setdefault(entry.endpoint, self.now)
-        return self.feed(Listed(kind, 1, entries))
+        return self.feed(EndpointListReceived(kind, 1, entries))
 
     def arrive(
         self, message: int, cls: int = SAFE, destination: int = 1, key: int = 0, tenant: int = 0
@@ -103,10 +103,10 @@
     def arrive_together(self, *messages: int) -> list:
         return self.feed(*(self.arrival(message) for message in messages))
 
-    def arrival(self, message, cls=SAFE, destination=1, key=0, tenant=0) -> Arrived:
+    def arrival(self, message, cls=SAFE, destination=1, key=0, tenant=0) -> MessageAccepted:
         left = self.settings.classes[cls].deadline_ms
         self.since[message] = self.now
-        self.taken[message] = Arrived(message, cls, destination, left, tenant, key)
+        self.taken[message] = MessageAccepted(message, cls, destination, left, tenant, key)
         return self.taken[message]
 
     def end(self, message: int, outcome: Outcome, attempt: int | None = None, wait: float = 0.0) -> list:
@@ -146,7 +146,7 @@
             if due > at:
                 break
             self.now = max(self.now, due)
-            events = [Reminded(0)] if any(alarm <= self.now for alarm in self.alarms) else []
+            events = [TimerFired(0)] if any(alarm <= self.now for alarm in self.alarms) else []
             self.alarms = [alarm for alarm in self.alarms if alarm > self.now]
             events += [
                 self.outcome(m, Outcome.TIMEOUT, a) for stop, m, a in sorted(stops) if stop <= self.now
@@ -189,13 +189,13 @@
             if isinstance(action, Refuse):
                 assert not self.may_have_run(action.message), "refused, but it may have run"
             self.answers[action.message] = type(action).__name__.lower()
-        elif isinstance(action, Remind):
+        elif isinstance(action, SetTimer):
             assert action.in_ms > 0
             self.alarms.append(self.now + action.in_ms)
         elif isinstance(action, Cancel):
             assert self.settings.may_cancel and action.attempt < len(self.sent[action.message])
         else:
-            assert isinstance(action, (HangUp, Probe, Remember, Subscribe)), action
+            assert isinstance(action, (CloseIdleConnections, Probe, RecordColdState, Subscribe)), action
             assert self.settings.may_probe or not isinstance(action, Probe)
 
     def may_have_run(self, message: int) -> bool:
@@ -222,7 +222,7 @@
         attempts = self.sent.setdefault(send.message, [])
         assert len(attempts) < self.settings.max_attempts, "more attempts than allowed"
         self.out[send.message, len(attempts)] = send.endpoint
-        attempts.append((send.endpoint, self.now, send.stop_at_ms))
+        attempts.append((send.endpoint, self.now, send.timeout_at_ms))
         calls = {
             (self.sent[m][a][0], self.sent[m][a][1]) if self.batches(m, a) else (m, a) for m, a in self.out
         }
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -155,7 +155,7 @@
     def start(self, index: int, resumed: tuple[api.Event, ...] = ()) -> None:
         self.dispatchers[index] = Dispatcher(self.settings, self.chance.randrange(1 << 30))
         entries = tuple(Entry(t.name, t.destination, kind=t.kind) for t in self.targets)
-        self.feed(index, api.Listed(api.ListKind.FULL, 1, entries), *resumed)
+        self.feed(index, api.EndpointListReceived(api.ListKind.FULL, 1, entries), *resumed)
 
     def at(self, when: float, what: Callable[[], None]) -> None:
         heapq.heappush(self.queue, (when, next(self.order), what))
@@ -167,8 +167,8 @@
             match action:
                 case api.Send(number, endpoint):
                     sends.setdefault(endpoint, []).append(number)
-                case api.Remind(in_ms):
-                    self.later(index, in_ms, api.Reminded(0))
+                case api.SetTimer(in_ms):
+                    self.later(index, in_ms, api.TimerFired(0))
                 case api.Refuse(number):
                     self.ends.setdefault(number, (self.now, "refused"))
                     self.owners.pop(number, None)
@@ -224,7 +224,7 @@
                 ran_ago = None if since is None else self.now - since
                 attempts = self.attempts.get(number, 0)
                 told = {"attempts": attempts, "ran_ago_ms": ran_ago, "ran_endpoint": endpoint}
-                resumed.append(api.Arrived(number, cls, destination, left, **told))
+                resumed.append(api.MessageAccepted(number, cls, destination, left, **told))
         self.start(index, tuple(resumed))
 
     def arrive(self, destination: int) -> None:
@@ -232,7 +232,7 @@
         index = self.chance.choice(list(self.dispatchers))
         self.taken[number] = (self.now, cls, destination)
         self.owners[number] = index
-        self.feed(index, api.Arrived(number, cls, destination, CLASSES[cls].deadline_ms))
+        self.feed(index, api.MessageAccepted(number, cls, destination, CLASSES[cls].deadline_ms))
 
     def traffic(self, destination: int, per_s: float, start: float, end: float) -> None:
         """Messages at random moments, dealt to dispatchers by chance."""
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -8,8 +8,8 @@
 from test_benchlink import TOLD
 
 from crowpier import Dispatcher
-from crowpier.benchlink import settings_of
-from crowpier.interface import Arrived
+from crowpier.benchlink import parse_settings
+from crowpier.interface import MessageAccepted
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.journal import Journal, Kept
@@ -77,7 +77,7 @@
 def node_of(tmp_path, heard):
     """A node that only notes what it gives to the decisions."""
     told = json.loads(json.dumps(TOLD)) | {"categories": [BERTH], "tenants": TENANTS}
-    settings = settings_of(json.dumps(told).encode())
+    settings = parse_settings(json.dumps(told).encode())
     node = Node(settings, Dispatcher(settings, 1), Journal(tmp_path, 3e6), lambda *end: None)
     node.listing.destinations[7] = 0.0
     node.note = heard.append
@@ -91,7 +91,7 @@
         node = node_of(tmp_path, heard)
         for number, tenant in enumerate(("consorzio", "comune", "")):
             node.offer(Offer(b"m%d" % number, "berth", 7, 1000.0, b"", tenant=tenant), lambda reply: None)
-        assert [event.tenant for event in heard if isinstance(event, Arrived)] == [0, 1, 2]
+        assert [event.tenant for event in heard if isinstance(event, MessageAccepted)] == [0, 1, 2]
         with pytest.raises(BadRequest, match="unknown tenant 'duomo'"):
             node.offer(Offer(b"m9", "berth", 7, 1000.0, b"", tenant="duomo"), lambda reply: None)
         node.journal.close()
@@ -108,14 +108,14 @@
         heard = []
         node = node_of(tmp_path, heard)
         resume(node)
-        assert [event.tenant for event in heard if isinstance(event, Arrived)] == [1]
+        assert [event.tenant for event in heard if isinstance(event, MessageAccepted)] == [1]
         node.journal.close()
 
     run(work())
 
 
 def test_a_message_without_an_allowance_is_never_over_one():
-    settings = settings_of(json.dumps(TOLD | {"tenants": TENANTS}).encode())
+    settings = parse_settings(json.dumps(TOLD | {"tenants": TENANTS}).encode())
     dispatcher = Dispatcher(settings, 1)
     dispatcher.now = 0.0
     assert not any(dispatcher.over_share(2) for _ in range(50))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -8,14 +8,14 @@
 from pathlib import Path
 
 import pytest
-from bed import Bed
+from dispatcher_harness import DispatcherHarness
 from doubles import PATIENCE_S, ROOT, UNSAFE, WORTH, Program, playing, run
 from test_benchlink import TOLD
 from test_endpoints import Caller
 
 from crowpier import Dispatcher
-from crowpier.benchlink import settings_of
-from crowpier.interface import Arrived, Entry, Outcome
+from crowpier.benchlink import parse_settings
+from crowpier.interface import Entry, MessageAccepted, Outcome
 from rushhitch.connection import Connection
 from rushhitch.core.node import Node
 from rushhitch.core.state_transfer import StateTransfer
@@ -162,34 +162,34 @@
 
 
 def resumed(message, left_ms, cls=0, **told):
-    return Arrived(message, cls, 1, left_ms, untried=True, **told)
+    return MessageAccepted(message, cls, 1, left_ms, untried=True, **told)
 
 
 def test_what_was_resumed_untried_is_sent_with_less_time_than_a_call_takes():
     # Guards against a new process's guess of how long calls take, by which messages are given up unsent.
-    bed = Bed(Entry("e1", 1))
-    usual = bed.dispatcher.usual["notice"]
+    harness = DispatcherHarness(Entry("e1", 1))
+    usual = harness.dispatcher.expected_ms["notice"]
     for message, left in enumerate((1.0, usual / 4, usual / 2, usual * 2)):
-        bed.since[message], bed.taken[message] = bed.now, resumed(message, left)
-    bed.feed(*bed.taken.values())
-    assert bed.sent.keys() == {0, 1, 2, 3}
+        harness.since[message], harness.taken[message] = harness.now, resumed(message, left)
+    harness.feed(*harness.taken.values())
+    assert harness.sent.keys() == {0, 1, 2, 3}
 
 
 def test_what_was_resumed_with_no_time_left_ends_at_once_and_is_not_sent():
-    bed = Bed(Entry("e1", 1))
-    bed.since[1], bed.taken[1] = bed.now, resumed(1, 0.0)
-    bed.feed(bed.taken[1])
-    assert bed.answers[1] == "refuse" and not bed.sent.get(1)
+    harness = DispatcherHarness(Entry("e1", 1))
+    harness.since[1], harness.taken[1] = harness.now, resumed(1, 0.0)
+    harness.feed(harness.taken[1])
+    assert harness.answers[1] == "refuse" and not harness.sent.get(1)
 
 
 def test_a_full_house_that_was_resumed_is_not_shed_unseen():
-    bed = Bed(Entry("e1", 1), max_held=10)
+    harness = DispatcherHarness(Entry("e1", 1), max_held=10)
     for message in range(10):
-        bed.since[message], bed.taken[message] = bed.now, resumed(message, 6000.0)
-    bed.feed(*bed.taken.values())
-    assert not bed.answers
-    bed.arrive(10)
-    assert bed.answers.keys() <= {10}
+        harness.since[message], harness.taken[message] = harness.now, resumed(message, 6000.0)
+    harness.feed(*harness.taken.values())
+    assert not harness.answers
+    harness.arrive(10)
+    assert harness.answers.keys() <= {10}
 
 
 @pytest.mark.parametrize("left", [b"m0", b"m1"])
@@ -229,7 +229,7 @@
         )
         caller.send(0, 1)  # in one call: its bytes hold both
         for _ in range(2):
-            assert await caller.result() == (Outcome.MOOT, False, 0.0)
+            assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         caller.endpoints.begin = begin
         caller.send(0)
         request = await caller.partner.next()
@@ -332,7 +332,7 @@
     what its journal tells then."""
     told = json.loads(json.dumps(TOLD)) | {"categories": [UNSAFE | WORTH]}
     told["familyInfo"]["batchByKind"] = [batch]
-    settings = settings_of(json.dumps(told).encode())
+    settings = parse_settings(json.dumps(told).encode())
     node = Node(settings, Dispatcher(settings, 1), Journal(folder, 3e6), lambda *end: None)
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setblocking(False)
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -5,7 +5,7 @@
 import signal
 
 import pytest
-from bed import SAFE, UNSAFE, Bed
+from dispatcher_harness import SAFE, UNSAFE, DispatcherHarness
 from doubles import SAFE as NOTE
 from doubles import UNSAFE as PAY
 from doubles import WORTH, run
@@ -17,69 +17,71 @@
 from test_succession import Pair, with_pair
 
 from crowpier import Dispatcher
-from crowpier.benchlink import settings_of
+from crowpier.benchlink import parse_settings
 from crowpier.interface import (
-    Arrived,
     AttemptEnded,
     Effect,
+    EndpointListReceived,
     Entry,
     Fail,
-    Listed,
     ListKind,
+    MessageAccepted,
     MessageClass,
     Outcome,
     Reconfigured,
     Refuse,
-    Reminded,
     Send,
     Settings,
+    TimerFired,
 )
 from rushhitch.config.history import History, lacking
 
 
 def classes(**changes):
     """The bed's settings with another first class."""
-    bed = Bed()
-    told = {key: getattr(bed.settings, key) for key in bed.settings.__dataclass_fields__}
+    harness = DispatcherHarness()
+    told = {key: getattr(harness.settings, key) for key in harness.settings.__dataclass_fields__}
     return Settings(**(told | changes))
 
 
 def test_a_message_keeps_its_effect_though_the_class_becomes_unsafe():
-    bed = Bed(Entry("e1", 1))
-    bed.arrive(1, SAFE)
-    rest = bed.settings.classes[1:]
-    bed.feed(Reconfigured(classes(classes=(MessageClass("notice", 1500, 6000, effect=Effect.UNSAFE), *rest))))
-    bed.end(1, Outcome.ERROR)
-    bed.pass_ms(2000, timeouts=False)
-    assert len(bed.where(1)) == 2, "it was not sent again"
-    bed.end(1, Outcome.OK)
-    bed.arrive(2, SAFE)  # of the class as it is now
-    bed.end(2, Outcome.ERROR)
-    assert bed.answers[2] == "fail"
+    harness = DispatcherHarness(Entry("e1", 1))
+    harness.arrive(1, SAFE)
+    rest = harness.settings.classes[1:]
+    harness.feed(
+        Reconfigured(classes(classes=(MessageClass("notice", 1500, 6000, effect=Effect.UNSAFE), *rest)))
+    )
+    harness.end(1, Outcome.ERROR)
+    harness.pass_ms(2000, timeouts=False)
+    assert len(harness.where(1)) == 2, "it was not sent again"
+    harness.end(1, Outcome.OK)
+    harness.arrive(2, SAFE)  # of the class as it is now
+    harness.end(2, Outcome.ERROR)
+    assert harness.answers[2] == "fail"
 
 
 def test_a_message_keeps_its_number_of_attempts():
-    bed = Bed(Entry("e1", 1), max_attempts=3)
-    bed.arrive(1, SAFE)
-    bed.feed(Reconfigured(classes(max_attempts=1)))
-    bed.arrive(2, SAFE)
+    harness = DispatcherHarness(Entry("e1", 1), max_attempts=3)
+    harness.arrive(1, SAFE)
+    harness.feed(Reconfigured(classes(max_attempts=1)))
+    harness.arrive(2, SAFE)
     for _ in range(3):
-        for message, attempt in list(bed.out):
-            bed.end(message, Outcome.FULL, attempt, wait=50.0)
-        bed.pass_ms(700, timeouts=False)
-    assert len(bed.where(1)) == 3 and len(bed.where(2)) == 1
+        for message, attempt in list(harness.out):
+            harness.end(message, Outcome.FULL, attempt, wait=50.0)
+        harness.pass_ms(700, timeouts=False)
+    assert len(harness.where(1)) == 3 and len(harness.where(2)) == 1
 
 
 def test_a_class_that_was_dropped_goes_with_its_last_message():
-    bed = Bed(Entry("e1", 1))
-    bed.arrive(1, UNSAFE)
-    kept = tuple(cls for cls in bed.settings.classes if cls.name != "payment")
-    bed.feed(Reconfigured(classes(classes=kept)))
-    assert "payment" in bed.dispatcher.usual
-    bed.end(1, Outcome.OK)
-    assert bed.answers[1] == "served"
-    bed.feed(Reconfigured(classes(classes=kept)))
-    assert "payment" not in bed.dispatcher.usual
+    harness = DispatcherHarness(Entry("e1", 1))
+    harness.arrive(1, UNSAFE)
+    kept = tuple(cls for cls in harness.settings.classes if cls.name != "payment")
+    harness.feed(Reconfigured(classes(classes=kept)))
+    assert "payment" in harness.dispatcher.expected_ms
+    harness.end(1, Outcome.OK)
+    assert harness.answers[1] == "served"
+    harness.feed(Reconfigured(classes(classes=kept)))
+    assert "payment" not in harness.dispatcher.expected_ms
 
 
 def test_the_history_tells_what_each_message_was_taken_under():
@@ -91,7 +93,7 @@
     history = History()
     for since, effect, attempts in ((1, "repeatable", 8), (10, "once", 2), (20, "repeatable", 8)):
         settings = told(effect, attempts)
-        made = settings_of(json.dumps(settings).encode())
+        made = parse_settings(json.dumps(settings).encode())
         history = history.taken({"settings": settings, "name": "n0"}, made, since)
     again = History.read(history.content())
     for number, effect, attempts in ((9, Effect.SAFE, 8), (10, Effect.UNSAFE, 2), (25, Effect.SAFE, 8)):
@@ -275,7 +277,7 @@
         self.in_force = self.settings({"a": Effect.SAFE, "b": Effect.UNSAFE}, 3)
         self.dispatcher = Dispatcher(self.in_force, 7)
         self.terms, self.sent, self.out, self.ran, self.ended = {}, {}, {}, set(), set()
-        self.feed(Listed(ListKind.FULL, 1, (Entry("e1", 1), Entry("e2", 1))))
+        self.feed(EndpointListReceived(ListKind.FULL, 1, (Entry("e1", 1), Entry("e2", 1))))
 
     @staticmethod
     def settings(effects, attempts):
@@ -310,7 +312,7 @@
         position = choice % len(self.in_force.classes)
         self.message += 1
         self.terms[self.message] = (self.in_force.classes[position].effect, self.in_force.max_attempts)
-        self.feed(Arrived(self.message, position, 1, 6000.0))
+        self.feed(MessageAccepted(self.message, position, 1, 6000.0))
 
     @rule(outcome=st.sampled_from([Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED]))
     def answer(self, outcome):
@@ -326,13 +328,13 @@
     @rule(span=st.floats(1.0, 7000.0))
     def wait(self, span):
         self.now += span
-        self.feed(Reminded(0))
+        self.feed(TimerFired(0))
 
     @invariant()
     def no_class_is_kept_that_nobody_needs(self):
         held = {message.cls.name for message in self.dispatcher.messages.values()}
         known = {cls.name for cls in self.in_force.classes} | held
-        assert known <= set(self.dispatcher.usual)
+        assert known <= set(self.dispatcher.expected_ms)
 
 
 SwapMachine.TestCase.settings = budget(
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,8 +9,8 @@
 from doubles import Peer, Program, run
 
 from crowpier import Dispatcher
-from crowpier.benchlink import settings_of
-from crowpier.interface import Arrived, Listed, ListKind, Remembered, State
+from crowpier.benchlink import parse_settings
+from crowpier.interface import ColdStateRestored, EndpointListReceived, ListKind, MessageAccepted, State
 from rushhitch.control.bans import Bans
 from rushhitch.core import listing
 from rushhitch.core import node as node_module
@@ -33,7 +33,7 @@
         config = program.config()
         if slots is not None:
             config["settings"]["familyInfo"]["workers"] = slots
-        settings = settings_of(json.dumps(config["settings"]).encode())
+        settings = parse_settings(json.dumps(config["settings"]).encode())
         self.journal = Journal(folder / "state", 3e6)
         self.ends, self.answers = asyncio.Queue(), asyncio.Queue()
         self.node = Node(
@@ -170,7 +170,9 @@
 
     @with_bench(tmp_path)
     async def _(bench):
-        assert Remembered("e1", 2.5) in told and not any(isinstance(event, Arrived) for event in told)
+        assert ColdStateRestored("e1", 2.5) in told and not any(
+            isinstance(event, MessageAccepted) for event in told
+        )
 
 
 def test_a_full_house_refuses_and_tells_when_to_come_back(tmp_path):
@@ -258,7 +260,7 @@
         while bench.node.endpoints.tasks or bench.node.gathering:
             await asyncio.sleep(0.001)
         minute_later = bench.node.loop.time() * 1000.0 + 60_000.0
-        bench.node.dispatcher.handle(minute_later, [Listed(ListKind.DELTA, 1000)])
+        bench.node.dispatcher.handle(minute_later, [EndpointListReceived(ListKind.DELTA, 1000)])
         assert {name: size for name, size in sizes(bench).items() if size > 3} == {}
 
 
@@ -269,7 +271,7 @@
     idle = sum(map(len, pool.idle.values()))
     believed = {e.name: (len(e.calls), len(e.idle)) for e in decisions.endpoints.values()}
     held = {name: (calls[name], len(pool.idle.get(name, ()))) for name in pool.entries}
-    return (believed, decisions.used + idle), (held, pool.connections)
+    return (believed, decisions.slots_in_use + idle), (held, pool.connections)
 
 
 @pytest.mark.parametrize(
@@ -313,7 +315,7 @@
                 second.writer.close()
                 assert await second.ended()
             case "hang-up":
-                decisions.distrust(1.0)
+                decisions.shorten_keep_alive(1.0)
                 while pool.idle:
                     await asyncio.sleep(0.01)
                     bench.node.turn()
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field, replace
 
 import pytest
-from bed import settings
+from dispatcher_harness import settings
 from doubles import WORTH, Program, run
 from lives import CALL_S, Life, Partner, virtual
 from test_endings import Unreached
@@ -16,13 +16,13 @@
 
 from crowpier import Dispatcher
 from crowpier.interface import (
-    Arrived,
     AttemptEnded,
+    AttemptInProgress,
     Effect,
+    EndpointListReceived,
     Entry,
-    Lent,
-    Listed,
     ListKind,
+    MessageAccepted,
     MessageClass,
     Outcome,
     Send,
@@ -367,9 +367,9 @@
 def test_a_call_that_an_earlier_process_still_has_out_begins_the_window_when_it_was_sent(sent_ago_ms):
     told = settings(classes=(MessageClass("berth", 3000, 20000, effect=Effect.KEYED, window_ms=1000),))
     dispatcher = Dispatcher(told, seed=1)
-    lent = (Lent(0, "e1", 1, sent_ago_ms),)
-    dispatcher.handle(5000.0, [Listed(ListKind.FULL, 1, (Entry("e1", 1),))])
-    dispatcher.handle(5000.0, [Arrived(1, 0, 1, 20000.0, attempts=1, out=lent)])
+    lent = (AttemptInProgress(0, "e1", 1, sent_ago_ms),)
+    dispatcher.handle(5000.0, [EndpointListReceived(ListKind.FULL, 1, (Entry("e1", 1),))])
+    dispatcher.handle(5000.0, [MessageAccepted(1, 0, 1, 20000.0, attempts=1, out=lent)])
     dispatcher.handle(5100.0, [AttemptEnded(1, 0, "e1", Outcome.RESET, 100.0)])
     for now in range(5100, 5300, 10):
         for action in dispatcher.handle(float(now), []):
@@ -402,7 +402,7 @@
         start_by = loop.time() + 0.3
         caller.endpoints.send("e1", [Attempt(1, 1, b"m1", bytes(size), start_by + 30.0, start_by=start_by)])
         loop.call_at(start_by, read.set)
-        assert await caller.result() == (Outcome.MOOT, False, 0.0)
+        assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         await gone.wait()
         assert 0 < arrived < size and caller.endpoints.connections == 0
         assert not caller.endpoints.idle, "a connection with half a request on it was kept"
@@ -429,5 +429,5 @@
         attempts = [Attempt(m, 1, b"m%d" % m, b"", loop.time() + 30.0) for m in range(3)]
         caller.endpoints.send("e1", [replace(a, start_by=by) for a, by in zip(attempts, ages, strict=True)])
         for _ in ages:
-            assert await caller.result() == (Outcome.MOOT, False, 0.0)
+            assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         assert caller.partner.requests.empty()
