--- a/rushhitch/cloudevents/mapping.py
+++ b/rushhitch/cloudevents/mapping.py
@@ -11,9 +11,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
+from rushhitch.acceptor import Acknowledgement, Verdict
 from rushhitch.cloudevents.events import BadEvent, Event, digest, identity, moment
 from rushhitch.cloudevents.sinks import Sinks
-from rushhitch.taker import Acknowledgement, Verdict
 
 EXPIRY, KEY = "expirytime", "partitionkey"
 REST = ".*"  # a type that ends so stands for all that begin like it
--- a/rushhitch/core/acknowledgements.py
+++ b/rushhitch/core/acknowledgements.py
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 from enum import Enum
 
-from rushhitch.taker import Acknowledgement, Reply, Verdict
+from rushhitch.acceptor import Acknowledgement, Reply, Verdict
 
 MOST = 10_000  # ends that are remembered for acknowledgements that still come: 2 MB
 
--- a/rushhitch/core/ended.py
+++ b/rushhitch/core/ended.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from rushhitch.taker import Reply
+from rushhitch.acceptor import Reply
 
 KEEP_S = 600.0  # past its time an event is remembered for so long: who asks again does so within minutes
 MOST = 100_000  # of them, 30 MB
--- a/rushhitch/core/messages.py
+++ b/rushhitch/core/messages.py
@@ -5,10 +5,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from rushhitch.core.lifecycle import Stage
-from rushhitch.endpoints import Result
-from rushhitch.journal import Kept
-from rushhitch.taker import (
+from rushhitch.acceptor import (
     Answer,
     LookForClient,
     Reachable,
@@ -16,6 +13,9 @@
     always_reachable,
     leave_unwatched,
 )
+from rushhitch.core.lifecycle import Stage
+from rushhitch.endpoints import Result
+from rushhitch.journal import Kept
 
 BUSY_MS = 500  # told to a client where the house or the journal is full
 
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -15,6 +15,22 @@
 from crowpier import Dispatcher
 from crowpier import interface as api
 from crowpier.interface import Outcome, Settings
+from rushhitch.acceptor import (
+    DELIVERED,
+    FAILED,
+    TAKEN,
+    Acknowledgement,
+    Answer,
+    BadRequest,
+    LookForClient,
+    Offer,
+    Pending,
+    Reachable,
+    Reply,
+    Verdict,
+    always_reachable,
+    leave_unwatched,
+)
 from rushhitch.config.history import History
 from rushhitch.control.bans import Bans
 from rushhitch.core.acknowledgements import ACKNOWLEDGED, UNKNOWN, Past, effect
@@ -34,22 +50,6 @@
 from rushhitch.journal.space import RECORD_ROOM
 from rushhitch.partners.codec import Attempt, Codec
 from rushhitch.partners.gate import Gate
-from rushhitch.taker import (
-    DELIVERED,
-    FAILED,
-    TAKEN,
-    Acknowledgement,
-    Answer,
-    BadRequest,
-    LookForClient,
-    Offer,
-    Pending,
-    Reachable,
-    Reply,
-    Verdict,
-    always_reachable,
-    leave_unwatched,
-)
 
 if TYPE_CHECKING:
     from rushhitch.cloudevents.sinks import Sinks
--- a/rushhitch/core/recent_ends.py
+++ b/rushhitch/core/recent_ends.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from rushhitch.taker import Reply
+from rushhitch.acceptor import Reply
 
 KEEP_S = 2.0  # a client that sends once more does so at once, and waits 0.4 s for its answer
 
--- a/rushhitch/core/resumption.py
+++ b/rushhitch/core/resumption.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from crowpier import interface as api
+from rushhitch.acceptor import DELIVERED, FAILED, Reply
 from rushhitch.core.messages import BUSY_MS, InheritedAttempt, PendingNotice
 from rushhitch.core.node import Node
 from rushhitch.core.start_report import Found, found
 from rushhitch.journal import Kept
-from rushhitch.taker import DELIVERED, FAILED, Reply
 
 log = logging.getLogger(__name__)
 
--- a/rushhitch/fronts/client_connection.py
+++ b/rushhitch/fronts/client_connection.py
@@ -11,11 +11,11 @@
 from enum import Enum
 from typing import Protocol
 
+from rushhitch.acceptor import Taker
 from rushhitch.fronts import admission
 from rushhitch.fronts.admission import Standing
 from rushhitch.fronts.receipts import BLIND_DOUBT_S, SLACK_S, Ending, Receipts
 from rushhitch.fronts.socket_state import ending_of, unacknowledged, unsent
-from rushhitch.taker import Taker
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
 class ConnectionOwner(Protocol):
     """What holds the connections of all fronts, within bounds that they share."""
 
-    taker: Taker
+    acceptor: Taker
     begun: int  # bytes of requests that are half sent
     most_begun: int
     clients: dict[ClientConnection, None]  # in the order in which they were last heard
@@ -89,7 +89,7 @@
     name = ""  # of the front
 
     def __init__(self, server: ConnectionOwner) -> None:
-        self.server, self.taker = server, server.taker
+        self.server, self.acceptor = server, server.acceptor
         self.loop = asyncio.get_running_loop()
         self.slots: deque[Slot] = deque()
         self.transport: asyncio.Transport | None = None
@@ -156,7 +156,7 @@
             self.resting.cancel()
         for slot in self.slots:
             for handle in slot.handles:
-                self.taker.withdraw(handle)
+                self.acceptor.withdraw(handle)
         self.slots.clear()
         if self.confirming is not None:
             self.confirming.cancel()
@@ -169,7 +169,7 @@
             return
         assert self.sock is not None, "it has had answers"
         for handle in self.receipts.unheard(ending, unacknowledged(self.sock)):
-            self.taker.abandon(handle, ending.value)
+            self.acceptor.abandon(handle, ending.value)
 
     def watch_receipts(self) -> None:
         """Look soon whether the client is still there, where one of its answers is in doubt."""
@@ -184,7 +184,7 @@
         self.look_for_client()  # what has come may be unread, while the connection rests
         now, unconfirmed = self.loop.time(), unacknowledged(self.sock)
         for handle in self.receipts.overdue(unconfirmed, now):
-            self.taker.abandon(handle, NOT_CONFIRMED)
+            self.acceptor.abandon(handle, NOT_CONFIRMED)
         again_at = self.receipts.still_there(unconfirmed, now)
         if again_at is not None:
             self.confirming = self.loop.call_at(again_at, self.confirm_heard)
@@ -294,7 +294,7 @@
                 continue
             handles, slot.handles = slot.handles, []
             for handle in handles:
-                self.taker.withdraw(handle)
+                self.acceptor.withdraw(handle)
             self.reply(slot, self.turned_away())
 
     def eof_received(self) -> bool:
@@ -400,7 +400,7 @@
         self.asked = adopted.asked
         for handle in adopted.doubtful:
             self.receipts.accepted(handle, self.loop.time())
-            self.taker.look_by(handle, self.look_for_client)
+            self.acceptor.look_by(handle, self.look_for_client)
         self.watch_receipts()
         if adopted.tail:
             self.data_received(adopted.tail)
--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -18,11 +18,11 @@
 import h11
 import msgspec
 
+from rushhitch.acceptor import BadRequest, Offer, Pending, Reply, Taker
 from rushhitch.cloudevents.events import BadEvent, Event
 from rushhitch.cloudevents.http import MOST_BATCH, decode
 from rushhitch.cloudevents.mapping import Rules, acknowledgement, placed
 from rushhitch.fronts.client_connection import ClientConnection, Close, ConnectionOwner, Fault, Slot
-from rushhitch.taker import BadRequest, Offer, Pending, Reply, Taker
 
 MOST_AHEAD = 65_536  # bytes of further requests that are read while one is under way
 MOST_HEAD = 32_768  # bytes: 64 attributes as headers, most of them short
@@ -83,8 +83,8 @@
     """The events of one request on their way through the core. `done` is called once, when each has been
     answered, and, with a wait, has ended or the wait is over."""
 
-    def __init__(self, taker: Taker, rules: Rules, done: Callable[[], None]) -> None:
-        self.taker, self.rules, self.done = taker, rules, done
+    def __init__(self, acceptor: Taker, rules: Rules, done: Callable[[], None]) -> None:
+        self.acceptor, self.rules, self.done = acceptor, rules, done
         self.loop = asyncio.get_running_loop()
         self.outcomes: list[Outcome] = []
         self.handles: dict[int, int] = {}  # of offers without an answer, by place
@@ -108,7 +108,9 @@
             try:
                 told = acknowledgement(event, self.rules.acks)
                 if told is not None:
-                    self.taker.acknowledge(told, lambda reply, at=place, of=event: self.told(at, reply, of))
+                    self.acceptor.acknowledge(
+                        told, lambda reply, at=place, of=event: self.told(at, reply, of)
+                    )
                     continue
                 offer = self.offer_of(event)
             except BadEvent as error:
@@ -142,7 +144,7 @@
             self.told(place, reply, event)
 
         try:
-            handle = self.taker.offer(offer, answered, lambda end: self.told(place, end, event))
+            handle = self.acceptor.offer(offer, answered, lambda end: self.told(place, end, event))
         except Pending as error:
             self.settle(place, Outcome.problem(503, str(error), PENDING_MS))
         except BadRequest as error:
@@ -237,7 +239,7 @@
         if intake is not None and not intake.over:
             intake.over = True
             for handle in list(intake.handles.values()):
-                self.taker.withdraw(handle)
+                self.acceptor.withdraw(handle)
         super().withdraw_requests()
 
     def eof_received(self) -> bool:
@@ -314,7 +316,7 @@
             return
         self.asked = True
         wait_s = wait_of(headers)
-        self.intake = Intake(self.taker, self.rules, lambda: self.answer(slot, mode, wait_s))
+        self.intake = Intake(self.acceptor, self.rules, lambda: self.answer(slot, mode, wait_s))
         self.intake.start(events, wait_s)
 
     def answer(self, slot: Slot, mode: str, wait_s: float) -> None:
--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -6,8 +6,8 @@
 
 import hiredis
 
+from rushhitch.acceptor import MOST_BODY, MOST_ID, BadRequest, Offer, Pending, Reply
 from rushhitch.fronts.client_connection import MOST_REQUEST, ClientConnection, ConnectionOwner, Fault, Slot
-from rushhitch.taker import MOST_BODY, MOST_ID, BadRequest, Offer, Pending, Reply
 
 PONG = b"+PONG\r\n"
 REFUSED = Reply("refused")
@@ -221,7 +221,7 @@
             if command == b"PING" and len(words) == 1:
                 self.reply(slot, PONG)
             elif command == b"OUT.ADD":
-                handle = self.taker.offer(
+                handle = self.acceptor.offer(
                     parse_offer(words),
                     lambda reply: self.answer(slot, reply),
                     reachable=lambda: self.reachable(slot),
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -442,9 +442,9 @@
     clients: Clients, configuration: Configuration, sinks: Sinks | None, passed: socket.socket | None = None
 ) -> None:
     """The CloudEvents front, beside RESP2 and within the same bounds."""
+    from rushhitch.acceptor import Verdict
     from rushhitch.cloudevents.mapping import Acks, Rules  # with its library: only where it is on
     from rushhitch.fronts.cloudevents import CloudEvents, front
-    from rushhitch.taker import Verdict
 
     events = configuration.own.events
     assert events is not None and events.listen is not None, "asked for only where it is set"
--- a/tests/lives.py
+++ b/tests/lives.py
@@ -14,13 +14,13 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import settings_of
 from crowpier.interface import Outcome
+from rushhitch.acceptor import TAKEN, Offer, Reply
 from rushhitch.core import node as node_module
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.endpoints import Result
 from rushhitch.journal import Journal, Sync
 from rushhitch.journal.files import Files
-from rushhitch.taker import TAKEN, Offer, Reply
 
 WORTH = {"lateWorth": 0.1, "value": 1.0}
 CLASSES = [
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -9,6 +9,7 @@
 from test_fronts_cloudevents import RULES, Browser
 from test_node import Bench
 
+from rushhitch.acceptor import Acknowledgement, Offer, Verdict
 from rushhitch.cloudevents.events import BadEvent, Event
 from rushhitch.cloudevents.mapping import Acks, Rules, acknowledgement, identity
 from rushhitch.core.acknowledgements import ACKNOWLEDGED, DIFFERS, LATE, UNKNOWN, Effect, Past, effect
@@ -20,7 +21,6 @@
 from rushhitch.journal import Journal
 from rushhitch.journal.inspect import table
 from rushhitch.partners.cloudevents import CloudEvents
-from rushhitch.taker import Acknowledgement, Offer, Verdict
 
 TYPES = {"org.bank.done": Verdict.DELIVERED, "org.bank.broke": Verdict.RAN, "org.bank.never": Verdict.NOT_RUN}
 DONE, BROKE, NEVER = TYPES
--- a/tests/test_acknowledgements_crash.py
+++ b/tests/test_acknowledgements_crash.py
@@ -6,9 +6,9 @@
 
 from crowpier.interface import Outcome
 from lab.disk import HOWS, CountingFiles, Crash, CrashingFiles
+from rushhitch.acceptor import Acknowledgement, Verdict
 from rushhitch.endpoints import Result
 from rushhitch.partners.cloudevents import CloudEvents
-from rushhitch.taker import Acknowledgement, Verdict
 
 DISK = 400_000.0
 MESSAGES = 16
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies as st
 from test_fronts_resp2 import ADD, Taker, connect
 
+from rushhitch.acceptor import TAKEN
 from rushhitch.fronts import admission, listener
 from rushhitch.fronts.admission import Standing, order
 from rushhitch.fronts.listener import Clients
 from rushhitch.fronts.resp2 import Resp2
-from rushhitch.taker import TAKEN
 
 NOW = 100.0
 
@@ -135,8 +135,8 @@
 
     async def work():
         before = descriptors()
-        taker = Taker()
-        server = Clients(taker, 64)
+        acceptor = Taker()
+        server = Clients(acceptor, 64)
         server.listen(("127.0.0.1", 0), "resp2", Resp2)
         over = asyncio.Event()
         told_off, crowd = 0, []
@@ -174,7 +174,7 @@
 
         async def take():
             while True:
-                _, answer = await taker.offers.get()
+                _, answer = await acceptor.offers.get()
                 answer(TAKEN)
 
         flooding, taking = asyncio.ensure_future(flood()), asyncio.ensure_future(take())
--- a/tests/test_close_over_unread.py
+++ b/tests/test_close_over_unread.py
@@ -6,9 +6,9 @@
 
 from doubles import run
 
+from rushhitch.acceptor import TAKEN
 from rushhitch.fronts.listener import Clients
 from rushhitch.fronts.resp2 import Resp2
-from rushhitch.taker import TAKEN
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 ADD = b"*5\r\n$7\r\nOUT.ADD\r\n$2\r\n00\r\n$2\r\nm1\r\n$20\r\nc=note,d=6000,dest=7\r\n$4\r\nbody\r\n"
@@ -24,7 +24,7 @@
         if reachable():
             self.accepted.append(answer(TAKEN) is not False)
         else:
-            from rushhitch.taker import Reply
+            from rushhitch.acceptor import Reply
 
             answer(Reply("refused"))
         return 1
@@ -56,15 +56,15 @@
 def test_an_answer_behind_a_full_window_is_not_taken_for_heard():
     # The client reads nothing: the system takes `+OK`, and no byte of it leaves the machine.
     async def work():
-        taker = Taker()
-        server = Clients(taker, 16)
+        acceptor = Taker()
+        server = Clients(acceptor, 16)
         server.listen(("127.0.0.1", 0), "resp2", Resp2)
         sock = await unread_client(server.address, 4000)
         await asyncio.sleep(1.0)
         await asyncio.get_running_loop().sock_sendall(sock, ADD)
         await asyncio.sleep(0.3)
         sock.close()  # its 400 ms are over
-        assert taker.accepted in ([], [False]), "accepted, and its client cannot have heard"
+        assert acceptor.accepted in ([], [False]), "accepted, and its client cannot have heard"
 
     run(work())
 
@@ -72,8 +72,8 @@
 def test_a_close_over_unread_bytes_does_not_destroy_an_acceptance():
     # An error on a pipelined request ends the connection: the reset goes before what the window holds back.
     async def work():
-        taker = Taker()
-        server = Clients(taker, 16)
+        acceptor = Taker()
+        server = Clients(acceptor, 16)
         server.listen(("127.0.0.1", 0), "resp2", Resp2)
         sock = await unread_client(server.address, 4000)
         loop = asyncio.get_running_loop()
@@ -84,6 +84,6 @@
             await asyncio.wait_for(loop.sock_sendall(sock, b"\x00junk" + bytes(400_000)), 1)
         await asyncio.sleep(0.3)
         got = await all_of(sock)
-        assert b"+OK" in got or True not in taker.accepted, f"accepted; read {len(got)} bytes, no +OK"
+        assert b"+OK" in got or True not in acceptor.accepted, f"accepted; read {len(got)} bytes, no +OK"
 
     run(work())
--- a/tests/test_cloudevents_sinks.py
+++ b/tests/test_cloudevents_sinks.py
@@ -8,6 +8,7 @@
 from test_fronts_cloudevents import EVENT, RULES, Browser
 from test_node import Bench
 
+from rushhitch.acceptor import FAILED
 from rushhitch.cloudevents.events import BadEvent, Event
 from rushhitch.cloudevents.mapping import Rules
 from rushhitch.cloudevents.sinks import Sinks
@@ -18,7 +19,6 @@
 from rushhitch.fronts.listener import Clients
 from rushhitch.journal import Journal
 from rushhitch.partners.cloudevents import CloudEvents
-from rushhitch.taker import FAILED
 
 SINKS = Sinks({"books": 9}, "note", "/rushhitch")
 WITH_SINKS = Rules(RULES.classes, RULES.most_ms, sinks=SINKS)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -10,11 +10,11 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import settings_of
 from crowpier.interface import Arrived
+from rushhitch.acceptor import BadRequest, Offer
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.journal import Journal, Kept
 from rushhitch.journal import format as form
-from rushhitch.taker import BadRequest, Offer
 
 BERTH = {"name": "berth", "effect": "by_key", "group": "zone", "windowMs": 900.0} | WORTH
 BERTH |= {"aimMs": 350.0, "hardLimitMs": 6000.0}
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -243,7 +243,7 @@
 def test_without_a_descriptor_accepting_rests_and_a_client_gives_way(monkeypatch):
     # Guards against a loop that fails to accept again and again: it took a whole core.
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         client = await connect(server)
         assert await client.ask(b"PING") == b"+PONG\r\n"
         came = socket.socket()
@@ -263,7 +263,7 @@
 
 def test_those_in_the_queue_at_the_end_are_taken_some_at_a_time():
     @with_server(most=32)
-    async def _(server, taker):
+    async def _(server, acceptor):
         server.pause_listening()
         waiting = [await connect(server) for _ in range(400)]
         before, most = held_here(), 0
@@ -288,7 +288,7 @@
 def test_who_takes_no_answers_and_gives_way_gives_its_descriptor_back():
     # Guards against connections that are counted no more and stay open until their clients go.
     @with_server(most=8)
-    async def _(server, taker):
+    async def _(server, acceptor):
         server.listeners[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
         crowd = []
         for _ in range(8):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,11 +16,11 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import settings_of
 from crowpier.interface import Arrived, Entry, Outcome
+from rushhitch.acceptor import Offer
 from rushhitch.connection import Connection
 from rushhitch.core.node import Node
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.journal import Journal
-from rushhitch.taker import Offer
 
 SYN_SENT = "02"  # of a connection in /proc/net/tcp
 
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -5,9 +5,9 @@
 from doubles import run
 from test_node import Bench, with_bench
 
+from rushhitch.acceptor import Offer
 from rushhitch.core.lifecycle import Phase
 from rushhitch.core.operators import Operators
-from rushhitch.taker import Offer
 
 
 def counted(told):
--- a/tests/test_fronts_cloudevents.py
+++ b/tests/test_fronts_cloudevents.py
@@ -8,6 +8,7 @@
 from doubles import run
 from test_node import Bench
 
+from rushhitch.acceptor import DELIVERED, FAILED
 from rushhitch.cloudevents.http import BATCH, MOST_BATCH, STRUCTURED
 from rushhitch.cloudevents.mapping import Rules
 from rushhitch.core.ended import End, Ended
@@ -19,7 +20,6 @@
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.journal import Journal
 from rushhitch.journal.inspect import table
-from rushhitch.taker import DELIVERED, FAILED
 
 front_of = front
 RULES = Rules({"com.example.note": "note", "com.example.pay": "pay"}, {"note": 6000.0, "pay": 24000.0})
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -9,11 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from rushhitch.acceptor import MOST_BODY, TAKEN, BadRequest, Reply
 from rushhitch.fronts import admission
 from rushhitch.fronts import resp2 as clients
 from rushhitch.fronts.listener import Clients
 from rushhitch.fronts.resp2 import Resp2, parse_offer
-from rushhitch.taker import MOST_BODY, TAKEN, BadRequest, Reply
 
 
 class Taker:
@@ -39,10 +39,10 @@
 def with_server(most=16):
     def decorate(test):
         async def work():
-            taker = Taker()
-            server = Clients(taker, most)
+            acceptor = Taker()
+            server = Clients(acceptor, most)
             server.listen(("127.0.0.1", 0), "resp2", Resp2)
-            await test(server, taker)
+            await test(server, acceptor)
 
         run(work())
 
@@ -76,13 +76,13 @@
 
 def test_answers_go_out_in_the_order_of_the_requests():
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         client = await connect(server)
         client.send(*ADD)
         client.send(b"PING")
         client.send(*ADD)
-        _, first = await taker.offers.get()
-        _, second = await taker.offers.get()
+        _, first = await acceptor.offers.get()
+        _, second = await acceptor.offers.get()
         second(Reply("refused", 300.0))
         first(TAKEN)
         assert [await client.line() for _ in range(3)] == [b"+OK\r\n", b"+PONG\r\n", b"-BUSY 300\r\n"]
@@ -92,10 +92,10 @@
 def test_an_acceptance_whose_client_left_right_behind_the_core_s_look_is_none(how):
     # `+OK` went to the transport's buffer, the message counted as accepted, and no loss took it back.
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         with socket.create_connection(server.address) as sock:
             sock.sendall(b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in ADD))
-            _, answer = await taker.offers.get()
+            _, answer = await acceptor.offers.get()
             if how == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             if how == "shut":
@@ -112,16 +112,16 @@
 def test_a_repeat_of_what_was_accepted_is_told_so_behind_an_open_request():
     # Such an answer may wait: the message is accepted, whoever hears of it.
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         client = await connect(server)
         client.send(*ADD)
-        _, first = await taker.offers.get()
+        _, first = await acceptor.offers.get()
 
         def offer(offer, answer, **_):
             assert answer(TAKEN)
             return 0
 
-        taker.offer = offer
+        acceptor.offer = offer
         client.send(*ADD)
         client.send(b"PING")
         first(Reply("refused", 300.0))
@@ -147,7 +147,7 @@
 )
 def test_what_is_not_resp_gets_an_error_and_costs_its_own_connection_only(data):
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         good, bad = await connect(server), await connect(server)
         bad.writer.write(data)
         assert (await bad.line()).startswith(b"-ERR ")
@@ -176,12 +176,12 @@
 )
 def test_a_request_that_makes_no_sense_gets_an_error_and_the_next_is_served(words, says):
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         client = await connect(server)
         line = await client.ask(*words)
         assert line.startswith(b"-ERR ") and says in line
         assert await client.ask(b"PING") == b"+PONG\r\n"
-        assert taker.offers.empty()
+        assert acceptor.offers.empty()
 
 
 @given(st.lists(st.binary(max_size=20), min_size=5, max_size=5))
@@ -198,20 +198,20 @@
 def test_a_client_that_goes_without_its_answer_withdraws_its_message():
     # Guards against delivering under an id that the client has given up and hands in anew.
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         client = await connect(server)
         client.send(*ADD)
-        await taker.offers.get()
+        await acceptor.offers.get()
         client.writer.close()
-        assert await taker.withdrawn.get() == 1
+        assert await acceptor.withdrawn.get() == 1
 
 
 def test_one_client_too_many_is_told_so():
     @with_server(most=1)
-    async def _(server, taker):
+    async def _(server, acceptor):
         first = await connect(server)
         first.send(*ADD)
-        _, answer = await taker.offers.get()
+        _, answer = await acceptor.offers.get()
         second = await connect(server)
         assert b"too many clients" in await second.line()
         assert await second.line() == b""
@@ -222,7 +222,7 @@
 def test_the_client_that_has_been_silent_longest_gives_way():
     # Guards against a table full of connections whose clients vanished without a word.
     @with_server(most=2)
-    async def _(server, taker):
+    async def _(server, acceptor):
         first, second = await connect(server), await connect(server)
         for client in (first, second, first):
             assert await client.ask(b"PING") == b"+PONG\r\n"
@@ -234,7 +234,7 @@
 
 def test_a_request_that_waits_to_be_read_is_answered_before_its_connection_is_closed():
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         client = await connect(server)
         assert await client.ask(b"PING") == b"+PONG\r\n"
         client.send(b"PING")  # in the kernel by now, and not read while this does not wait
@@ -245,7 +245,7 @@
 def test_a_client_that_takes_no_answers_is_not_read_on():
     # Guards against answers that pile up in memory.
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         client = await connect(server)
         assert await client.ask(b"PING") == b"+PONG\r\n"
         (served,) = server.clients
@@ -259,10 +259,10 @@
 def test_connections_are_closed_between_requests_only():
     # Guards against ending a connection with a request on it, which would lose the message.
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         idle, asking, writing = [await connect(server) for _ in range(3)]
         asking.send(*ADD)
-        _, answer = await taker.offers.get()
+        _, answer = await acceptor.offers.get()
         writing.writer.write(b"*1\r\n$4\r\nPI")
         assert await idle.ask(b"PING") == b"+PONG\r\n"
         while not any(client.framing.size for client in server.clients):
@@ -282,7 +282,7 @@
     monkeypatch.setattr(admission, "SILENT_S", 0.1)
 
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         client = await connect(server)
         client.writer.write(said)
         lines = (await client.reader.read()).splitlines()
@@ -294,10 +294,10 @@
     monkeypatch.setattr(admission, "IDLE_S", 0.2)
 
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         kept, asking = await connect(server), await connect(server)
         asking.send(*ADD)
-        _, answer = await taker.offers.get()
+        _, answer = await acceptor.offers.get()
         assert await kept.ask(b"PING") == b"+PONG\r\n" and await kept.line() == b""
         answer(TAKEN)
         assert await asking.line() == b"+OK\r\n" and await asking.line() == b""
@@ -305,7 +305,7 @@
 
 def test_a_crowd_that_says_nothing_gives_way_to_those_who_ask():
     @with_server(most=4)
-    async def _(server, taker):
+    async def _(server, acceptor):
         good = await connect(server)
         assert await good.ask(b"PING") == b"+PONG\r\n"
         crowd = [await connect(server) for _ in range(60)]
@@ -316,7 +316,7 @@
 
 def test_requests_that_are_half_sent_take_no_more_memory_than_they_may():
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         server.most_begun = 100_000
         half = [await connect(server) for _ in range(2)]
         for client in half:
@@ -336,13 +336,13 @@
     monkeypatch.setattr(clients, "BURST", 4)
 
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         client = await connect(server)
         for _ in range(30):
             client.send(*ADD)
         for _ in range(30):
-            _, answer = await taker.offers.get()
-            assert taker.offers.qsize() < 4
+            _, answer = await acceptor.offers.get()
+            assert acceptor.offers.qsize() < 4
             answer(TAKEN)
         assert [await client.line() for _ in range(30)] == [b"+OK\r\n"] * 30
 
@@ -352,7 +352,7 @@
     monkeypatch.setattr(clients, "TURNED_AWAY_S", 30.0)
 
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         client, good = await connect(server), await connect(server)
         assert (await client.ask(b"GIVE")).startswith(b"-ERR ")
         client.send(b"PING")
@@ -384,7 +384,7 @@
 def test_those_who_wait_in_the_queue_of_a_listener_that_closes_are_served():
     # Guards against a client whose connection is there, whose request is sent, and which is reset at an end.
     @with_server(most=64)
-    async def _(server, taker):
+    async def _(server, acceptor):
         server.pause_listening()
         waiting = [await connect(server) for _ in range(40)]
         for client in waiting:
@@ -398,7 +398,7 @@
 def test_no_answer_is_held_back_by_the_system():
     # Guards against small answers that wait for the word on the one before, and go with a reset connection.
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         client = await connect(server)
         assert await client.ask(b"PING") == b"+PONG\r\n"
         (connection,) = server.clients
@@ -410,7 +410,7 @@
     # Guards against a reset that takes an answer along: its client would hand the message in again. What is
     # unread it sends once more on another connection.
     @with_server()
-    async def _(server, taker):
+    async def _(server, acceptor):
         loop = asyncio.get_running_loop()
         with socket.create_connection(server.address) as sock:
             sock.setblocking(False)
@@ -419,7 +419,7 @@
                 assert await loop.sock_recv(sock, 100) == b"+PONG\r\n"
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_QUICKACK, 0)
             await loop.sock_sendall(sock, 2 * pack(ADD))
-            answers = [(await taker.offers.get())[1] for _ in range(2)]
+            answers = [(await acceptor.offers.get())[1] for _ in range(2)]
             (connection,) = server.clients
             connection.finishing = True
             sock.send(pack(ADD))  # in the very moment, and unread
@@ -427,7 +427,7 @@
                 answer(TAKEN)
             while server.clients:
                 await asyncio.sleep(0)
-            assert taker.offers.empty()
+            assert acceptor.offers.empty()
             sock.settimeout(5.0)
             assert sock.recv(100) == b"+OK\r\n+OK\r\n"
             with pytest.raises(ConnectionResetError):  # or this run proves nothing
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -18,7 +18,7 @@
     "rushhitch.endpoints",
     "rushhitch.partners",
     "rushhitch.cloudevents",
-    "rushhitch.taker",
+    "rushhitch.acceptor",
     "rushhitch.planning",
     "rushhitch.sharing",
     "rushhitch.membership",
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -11,6 +11,7 @@
 from test_node import OFFER, with_bench
 
 from crowpier.interface import Attached, Detached, Entry, ListKind, Outcome, Remember, Send, State
+from rushhitch.acceptor import TAKEN, Offer
 from rushhitch.control.bans import NAME, Bans
 from rushhitch.control.words import Refused
 from rushhitch.core.operators import Operators
@@ -18,7 +19,6 @@
 from rushhitch.journal.files import Files
 from rushhitch.journal.side import DRAFT
 from rushhitch.partners.codec import Attempt
-from rushhitch.taker import TAKEN, Offer
 
 FIRST, SECOND = Entry("e1", 1), Entry("e2", 1)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -11,6 +11,7 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import settings_of
 from crowpier.interface import Arrived, Listed, ListKind, Remembered, State
+from rushhitch.acceptor import TAKEN, Offer, Reply
 from rushhitch.control.bans import Bans
 from rushhitch.core import listing
 from rushhitch.core import node as node_module
@@ -19,7 +20,6 @@
 from rushhitch.core.resumption import resume
 from rushhitch.journal import Journal
 from rushhitch.journal.files import Files
-from rushhitch.taker import TAKEN, Offer, Reply
 
 OFFER = Offer(b"m1", "note", 7, 6000.0, b"hello")
 
--- a/tests/test_partners_cloudevents.py
+++ b/tests/test_partners_cloudevents.py
@@ -11,13 +11,13 @@
 
 from crowpier import Dispatcher
 from crowpier.interface import Outcome
+from rushhitch.acceptor import Offer
 from rushhitch.cloudevents.events import Event
 from rushhitch.cloudevents.http import decode
 from rushhitch.core.listing import with_singles
 from rushhitch.core.node import Node
 from rushhitch.partners.cloudevents import MODES, MOST_WAIT_MS, CloudEvents, retry_after_ms
 from rushhitch.partners.codec import Attempt, MessageEnd
-from rushhitch.taker import Offer
 
 ATTRIBUTES = {"specversion": "1.0", "id": "ä 1", "source": "/books", "type": "com.example.paid", "seq": 7}
 NOW = 1_790_000_000.0  # 2026-09-21T14:13:20Z
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -13,13 +13,13 @@
 from crowpier import Dispatcher
 from crowpier.interface import Outcome
 from rushhitch import connection
+from rushhitch.acceptor import TAKEN, Offer
 from rushhitch.core.messages import InheritedAttempt
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.journal import Journal
 from rushhitch.journal.files import Files
-from rushhitch.taker import TAKEN, Offer
 
 CLIENTS = 18
 SOON_S = 2.0  # far below the time that a message has here
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -15,12 +15,12 @@
 from test_node import with_bench
 
 from lab.addresses import free_address
+from rushhitch.acceptor import TAKEN, Offer
 from rushhitch.core.operators import Operators
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.succession import channel as channels
 from rushhitch.succession.channel import Channel
 from rushhitch.succession.states import VERSION, Do, Incumbent, New, Old, Successor
-from rushhitch.taker import TAKEN, Offer
 
 
 class Upgrades(RuleBasedStateMachine):
