--- a/rushhitch/acceptor.py
+++ b/rushhitch/acceptor.py
@@ -44,7 +44,7 @@
 Reachable = Callable[[], bool]  # whether an answer given now reaches the system in the same step
 LookForClient = Callable[
     [], None
-]  # has `Taker.abandon` called, in this step, where the client is gone by now
+]  # has `Acceptor.abandon` called, in this step, where the client is gone by now
 
 
 def always_reachable() -> bool:
@@ -83,7 +83,7 @@
     """A message of that id is being taken on just now: to come again soon is harmless."""
 
 
-class Taker(Protocol):
+class Acceptor(Protocol):
     """Who decides on what clients hand in: the core."""
 
     def offer(
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -185,7 +185,7 @@
         reachable: Reachable = always_reachable,
         look_for_client: LookForClient = leave_unwatched,
     ) -> int:
-        """A client hands a message in; it is answered at the end of the turn. `Taker` tells the rest."""
+        """A client hands a message in; it is answered at the end of the turn. `Acceptor` tells the rest."""
         if not self.lifecycle.accepting():
             answer(Reply("refused", BUSY_MS))
             return 0
@@ -312,12 +312,12 @@
         self.note(api.Withdrawn(message.number))
 
     def look_by(self, number: int, look_for_client: LookForClient) -> None:
-        """See `Taker`."""
+        """See `Acceptor`."""
         if (message := self.messages.get(number)) is not None:
             message.look_for_client = look_for_client
 
     def abandon(self, number: int, why: str) -> None:
-        """See `Taker`."""
+        """See `Acceptor`."""
         if self.relinquished:
             self.abandon_elsewhere(number, why)
             return
@@ -418,7 +418,7 @@
             self.commit()
 
     def acknowledge(self, told: Acknowledgement, answer: Answer) -> None:
-        """See `Taker`. It is answered once the journal tells of what it did."""
+        """See `Acceptor`. It is answered once the journal tells of what it did."""
         message = self.by_id.get(told.message)
         if message is None or message.kept.destination != told.destination:
             answer(self.past.answer(told, self.steady()))
--- a/rushhitch/fronts/client_connection.py
+++ b/rushhitch/fronts/client_connection.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Protocol
 
-from rushhitch.acceptor import Taker
+from rushhitch.acceptor import Acceptor
 from rushhitch.fronts import admission
 from rushhitch.fronts.admission import Standing
 from rushhitch.fronts.receipts import BLIND_DOUBT_S, SLACK_S, Ending, Receipts
@@ -27,7 +27,7 @@
 class ConnectionOwner(Protocol):
     """What holds the connections of all fronts, within bounds that they share."""
 
-    acceptor: Taker
+    acceptor: Acceptor
     begun: int  # bytes of requests that are half sent
     most_begun: int
     clients: dict[ClientConnection, None]  # in the order in which they were last heard
--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -18,7 +18,7 @@
 import h11
 import msgspec
 
-from rushhitch.acceptor import BadRequest, Offer, Pending, Reply, Taker
+from rushhitch.acceptor import Acceptor, BadRequest, Offer, Pending, Reply
 from rushhitch.cloudevents.events import BadEvent, Event
 from rushhitch.cloudevents.http import MOST_BATCH, decode
 from rushhitch.cloudevents.mapping import Rules, acknowledgement, placed
@@ -83,7 +83,7 @@
     """The events of one request on their way through the core. `done` is called once, when each has been
     answered, and, with a wait, has ended or the wait is over."""
 
-    def __init__(self, acceptor: Taker, rules: Rules, done: Callable[[], None]) -> None:
+    def __init__(self, acceptor: Acceptor, rules: Rules, done: Callable[[], None]) -> None:
         self.acceptor, self.rules, self.done = acceptor, rules, done
         self.loop = asyncio.get_running_loop()
         self.outcomes: list[Outcome] = []
--- a/rushhitch/fronts/listener.py
+++ b/rushhitch/fronts/listener.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from rushhitch.acceptor import Taker
+from rushhitch.acceptor import Acceptor
 from rushhitch.fronts.admission import order
 from rushhitch.fronts.client_connection import MOST_REQUEST, Adopted, ClientConnection
 
@@ -39,7 +39,7 @@
 class Clients:
     """The listeners of all fronts and their connections, within bounds that they share."""
 
-    def __init__(self, acceptor: Taker, most: int, most_begun: int = 100 * MOST_REQUEST) -> None:
+    def __init__(self, acceptor: Acceptor, most: int, most_begun: int = 100 * MOST_REQUEST) -> None:
         self.acceptor, self.most, self.most_begun = acceptor, most, most_begun
         self.begun = 0  # bytes of requests that are half sent: they take memory
         self.loop = asyncio.get_running_loop()
--- a/rushhitch/fronts/receipts.py
+++ b/rushhitch/fronts/receipts.py
@@ -28,7 +28,7 @@
 class Acceptance:
     """One answer that a message is accepted."""
 
-    handle: int  # of the message, as `Taker` gave it
+    handle: int  # of the message, as `Acceptor` gave it
     answered_at: float  # by the clock of the event loop, in seconds
     end: int  # bytes of answers on the connection, this one included
 
--- a/tests/test_close_over_unread.py
+++ b/tests/test_close_over_unread.py
@@ -14,7 +14,7 @@
 ADD = b"*5\r\n$7\r\nOUT.ADD\r\n$2\r\n00\r\n$2\r\nm1\r\n$20\r\nc=note,d=6000,dest=7\r\n$4\r\nbody\r\n"
 
 
-class Taker:
+class Acceptor:
     """Accepts each offer in the step in which it comes, where its client can be answered."""
 
     def __init__(self):
@@ -56,7 +56,7 @@
 def test_an_answer_behind_a_full_window_is_not_taken_for_heard():
     # The client reads nothing: the system takes `+OK`, and no byte of it leaves the machine.
     async def work():
-        acceptor = Taker()
+        acceptor = Acceptor()
         server = Clients(acceptor, 16)
         server.listen(("127.0.0.1", 0), "resp2", Resp2)
         sock = await unread_client(server.address, 4000)
@@ -72,7 +72,7 @@
 def test_a_close_over_unread_bytes_does_not_destroy_an_acceptance():
     # An error on a pipelined request ends the connection: the reset goes before what the window holds back.
     async def work():
-        acceptor = Taker()
+        acceptor = Acceptor()
         server = Clients(acceptor, 16)
         server.listen(("127.0.0.1", 0), "resp2", Resp2)
         sock = await unread_client(server.address, 4000)
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -16,7 +16,7 @@
 from rushhitch.fronts.resp2 import Resp2, parse_offer
 
 
-class Taker:
+class Acceptor:
     """Takes every offer and leaves its answer to the test."""
 
     def __init__(self):
@@ -39,7 +39,7 @@
 def with_server(most=16):
     def decorate(test):
         async def work():
-            acceptor = Taker()
+            acceptor = Acceptor()
             server = Clients(acceptor, most)
             server.listen(("127.0.0.1", 0), "resp2", Resp2)
             await test(server, acceptor)
