--- a/rushhitch/acceptor.py
+++ b/rushhitch/acceptor.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class Submission:
     """A message that a client hands in."""
 
     id: bytes
@@ -88,7 +88,7 @@
 
     def offer(
         self,
-        offer: Offer,
+        offer: Submission,
         answer: Answer,
         ended: Answer | None = None,
         reachable: Reachable = always_reachable,
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -23,10 +23,10 @@
     Answer,
     BadRequest,
     LookForClient,
-    Offer,
     Pending,
     Reachable,
     Reply,
+    Submission,
     Verdict,
     always_reachable,
     leave_unwatched,
@@ -179,7 +179,7 @@
 
     def offer(
         self,
-        offer: Offer,
+        offer: Submission,
         answer: Answer,
         ended: Answer | None = None,
         reachable: Reachable = always_reachable,
--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -18,7 +18,7 @@
 import h11
 import msgspec
 
-from rushhitch.acceptor import Acceptor, BadRequest, Offer, Pending, Reply
+from rushhitch.acceptor import Acceptor, BadRequest, Pending, Reply, Submission
 from rushhitch.cloudevents.events import BadEvent, Event
 from rushhitch.cloudevents.http import MOST_BATCH, decode
 from rushhitch.cloudevents.mapping import Rules, acknowledgement, placed
@@ -125,9 +125,9 @@
         self.started = True
         self.check()
 
-    def offer_of(self, event: Event) -> Offer:
+    def offer_of(self, event: Event) -> Submission:
         place = placed(event, self.rules, time.time())
-        return Offer(
+        return Submission(
             place.id,
             place.cls,
             place.destination,
@@ -138,7 +138,7 @@
             remember=True,
         )
 
-    def hand_in(self, place: int, event: Event, offer: Offer) -> None:
+    def hand_in(self, place: int, event: Event, offer: Submission) -> None:
         def answered(reply: Reply) -> None:
             self.handles.pop(place, None)
             self.told(place, reply, event)
--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -6,7 +6,7 @@
 
 import hiredis
 
-from rushhitch.acceptor import MOST_BODY, MOST_ID, BadRequest, Offer, Pending, Reply
+from rushhitch.acceptor import MOST_BODY, MOST_ID, BadRequest, Pending, Reply, Submission
 from rushhitch.fronts.client_connection import MOST_REQUEST, ClientConnection, ConnectionOwner, Fault, Slot
 
 PONG = b"+PONG\r\n"
@@ -39,7 +39,7 @@
     return int(text)
 
 
-def parse_offer(words: list[bytes]) -> Offer:
+def parse_offer(words: list[bytes]) -> Submission:
     """The words of an OUT.ADD."""
     if len(words) != 5:
         raise BadRequest(f"OUT.ADD takes key, id, fields and body, not {len(words) - 1} words")
@@ -57,7 +57,7 @@
     idempotency = told.get("k", "").encode("latin-1")
     if not IDEMPOTENCY.fullmatch(idempotency):
         raise BadRequest(f"k must be up to {MOST_ID} printable characters without spaces")
-    return Offer(
+    return Submission(
         name,
         told["c"],
         number(told["dest"], "dest"),
--- a/tests/lives.py
+++ b/tests/lives.py
@@ -14,7 +14,7 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import settings_of
 from crowpier.interface import Outcome
-from rushhitch.acceptor import TAKEN, Offer, Reply
+from rushhitch.acceptor import TAKEN, Reply, Submission
 from rushhitch.core import node as node_module
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
@@ -237,7 +237,9 @@
                 self.outside.taken[name] = cls
 
         attributes = b'{"id":"1"}' if remember else b""
-        self.node.offer(Offer(name, cls, 7, 5000.0, body, attributes=attributes, remember=remember), answer)
+        self.node.offer(
+            Submission(name, cls, 7, 5000.0, body, attributes=attributes, remember=remember), answer
+        )
 
 
 def virtual(work, outside: Outside | None = None) -> None:
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -9,7 +9,7 @@
 from test_fronts_cloudevents import RULES, Browser
 from test_node import Bench
 
-from rushhitch.acceptor import Acknowledgement, Offer, Verdict
+from rushhitch.acceptor import Acknowledgement, Submission, Verdict
 from rushhitch.cloudevents.events import BadEvent, Event
 from rushhitch.cloudevents.mapping import Acks, Rules, acknowledgement, identity
 from rushhitch.core.acknowledgements import ACKNOWLEDGED, DIFFERS, LATE, UNKNOWN, Effect, Past, effect
@@ -146,7 +146,7 @@
         resume(node)
 
     def post(self, cls="pay", name=b"m1", left_ms=6000.0, key=0):
-        self.offer(Offer(name, cls, 7, left_ms, b"hello", key))
+        self.offer(Submission(name, cls, 7, left_ms, b"hello", key))
 
     async def acknowledge(self, kind=DONE, **changes):
         """The status and state that an acknowledgement is answered with."""
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -10,7 +10,7 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import settings_of
 from crowpier.interface import Arrived
-from rushhitch.acceptor import BadRequest, Offer
+from rushhitch.acceptor import BadRequest, Submission
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.journal import Journal, Kept
@@ -90,10 +90,12 @@
         heard = []
         node = node_of(tmp_path, heard)
         for number, tenant in enumerate(("consorzio", "comune", "")):
-            node.offer(Offer(b"m%d" % number, "berth", 7, 1000.0, b"", tenant=tenant), lambda reply: None)
+            node.offer(
+                Submission(b"m%d" % number, "berth", 7, 1000.0, b"", tenant=tenant), lambda reply: None
+            )
         assert [event.tenant for event in heard if isinstance(event, Arrived)] == [0, 1, 2]
         with pytest.raises(BadRequest, match="unknown tenant 'duomo'"):
-            node.offer(Offer(b"m9", "berth", 7, 1000.0, b"", tenant="duomo"), lambda reply: None)
+            node.offer(Submission(b"m9", "berth", 7, 1000.0, b"", tenant="duomo"), lambda reply: None)
         node.journal.close()
 
     run(work())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,7 +16,7 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import settings_of
 from crowpier.interface import Arrived, Entry, Outcome
-from rushhitch.acceptor import Offer
+from rushhitch.acceptor import Submission
 from rushhitch.connection import Connection
 from rushhitch.core.node import Node
 from rushhitch.core.state_transfer import StateTransfer
@@ -340,7 +340,7 @@
     row |= {"cell": 7, "state": "SERVING", "weight": 1.0, "started_ms": 0}
     node.listing.take({"version": 41, "full": True, "servers": [row]}, cached=True)
     for number in range(batch):
-        node.offer(Offer(b"m%d" % number, "pay", 7, 9000.0, b"x"), lambda reply: None)
+        node.offer(Submission(b"m%d" % number, "pay", 7, 9000.0, b"x"), lambda reply: None)
     loop = asyncio.get_running_loop()
     partner, _ = await loop.sock_accept(listener)
     while node.endpoints.written < batch:
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -5,7 +5,7 @@
 from doubles import run
 from test_node import Bench, with_bench
 
-from rushhitch.acceptor import Offer
+from rushhitch.acceptor import Submission
 from rushhitch.core.lifecycle import Phase
 from rushhitch.core.operators import Operators
 
@@ -24,7 +24,7 @@
     async def _(bench):
         info = Operators(bench.node).info
         assert counted(info()) == 0 and info()["inflight"] == 0 and info()["hosts_listed"] == 1
-        bench.offer(Offer(b"m1", "note", 7, 6000.0, b""))
+        bench.offer(Submission(b"m1", "note", 7, 6000.0, b""))
         assert info()["inflight"] == 1
         assert (await bench.answers.get()).what == "taken"
         request = await bench.partner.next()
@@ -36,7 +36,7 @@
         request.answer(200)
         await until(lambda: info()["success"]["note"] == 1)
         assert info()["inflight"] == 0 and info()["backend_calls"] == 2
-        bench.offer(Offer(b"m2", "pay", 7, 24000.0, b""))
+        bench.offer(Submission(b"m2", "pay", 7, 24000.0, b""))
         assert (await bench.answers.get()).what == "taken"
         (await bench.partner.next()).answer(500)  # an unsafe message
         await until(lambda: info()["failure"]["pay"] == 1)
@@ -47,7 +47,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         monkeypatch.setattr(bench.journal, "has_room", lambda body: False)
-        bench.offer(Offer(b"m1", "note", 7, 6000.0, b""))
+        bench.offer(Submission(b"m1", "note", 7, 6000.0, b""))
         assert (await bench.answers.get()).what == "refused"
         told = Operators(bench.node).info()
         assert told["busy"] == {"note": 1, "pay": 0} and counted(told) == 1 and told["inflight"] == 0
@@ -56,7 +56,7 @@
 def test_a_message_that_its_client_abandoned_is_counted_nowhere(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
-        number = bench.node.offer(Offer(b"m1", "note", 7, 6000.0, b""), bench.answers.put_nowait)
+        number = bench.node.offer(Submission(b"m1", "note", 7, 6000.0, b""), bench.answers.put_nowait)
         bench.node.withdraw(number)
         told = Operators(bench.node).info()
         assert counted(told) == 0 and told["inflight"] == 0
@@ -65,7 +65,7 @@
 def test_each_process_counts_from_0_and_an_end_after_a_restart_is_counted_where_it_came(tmp_path):
     async def work():
         bench = await Bench().start(tmp_path)
-        bench.offer(Offer(b"m1", "note", 7, 6000.0, b""))
+        bench.offer(Submission(b"m1", "note", 7, 6000.0, b""))
         assert (await bench.answers.get()).what == "taken"
         await bench.partner.next()
         before = Operators(bench.node).info()
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -11,7 +11,7 @@
 from test_node import OFFER, with_bench
 
 from crowpier.interface import Attached, Detached, Entry, ListKind, Outcome, Remember, Send, State
-from rushhitch.acceptor import TAKEN, Offer
+from rushhitch.acceptor import TAKEN, Submission
 from rushhitch.control.bans import NAME, Bans
 from rushhitch.control.words import Refused
 from rushhitch.core.operators import Operators
@@ -213,7 +213,7 @@
         assert await bench.answers.get() == TAKEN
         await asyncio.sleep(0.1)
         assert bench.partner.requests.empty() and bench.partner.connections == 0
-        bench.offer(Offer(b"m2", "note", 7, 6000.0, b""))
+        bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
         Operators(bench.node).attach("e1")
         for _ in range(2):
             (await bench.partner.next()).answer(200)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -11,7 +11,7 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import settings_of
 from crowpier.interface import Arrived, Listed, ListKind, Remembered, State
-from rushhitch.acceptor import TAKEN, Offer, Reply
+from rushhitch.acceptor import TAKEN, Reply, Submission
 from rushhitch.control.bans import Bans
 from rushhitch.core import listing
 from rushhitch.core import node as node_module
@@ -21,7 +21,7 @@
 from rushhitch.journal import Journal
 from rushhitch.journal.files import Files
 
-OFFER = Offer(b"m1", "note", 7, 6000.0, b"hello")
+OFFER = Submission(b"m1", "note", 7, 6000.0, b"hello")
 
 
 class Bench:
@@ -76,7 +76,7 @@
 
     @with_bench(tmp_path)
     async def _(bench):
-        bench.offer(Offer(b"m1", "note", 7, 50.0, b""))
+        bench.offer(Submission(b"m1", "note", 7, 50.0, b""))
         assert await bench.answers.get() == TAKEN
         assert await bench.ends.get() == (1, b"m1", "dead", 0.0)
         assert bench.node.idle.is_set()
@@ -88,7 +88,7 @@
     # so that the delivery counts for nothing and no notice would come; or it was not, and its end is told.
     @with_bench(tmp_path)
     async def _(bench):
-        bench.offer(Offer(b"m1", cls, 7, 1000.0, b""))
+        bench.offer(Submission(b"m1", cls, 7, 1000.0, b""))
         request = await bench.partner.next()
         (call,) = bench.node.endpoints.calls.values()
         call.first_due = bench.node.loop.time() + node_module.ANSWER_MARGIN_S / 2.0
@@ -102,7 +102,7 @@
     # A shorter wait gave up calls of messages with little time, and with them all that shared these calls.
     @with_bench(tmp_path)
     async def _(bench):
-        bench.offer(Offer(b"m1", "note", 7, 700.0, b""))
+        bench.offer(Submission(b"m1", "note", 7, 700.0, b""))
         await bench.partner.next()
         message = bench.node.messages[1]
         (call,) = bench.node.endpoints.calls.values()
@@ -120,7 +120,7 @@
             patch.setattr(Dispatcher, "handle", broken)
             bench.offer()
             assert (await bench.answers.get()).what == "refused"
-        bench.offer(Offer(b"m2", "note", 7, 6000.0, b""))
+        bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
         assert await bench.answers.get() == TAKEN
 
     assert "Traceback" in caplog.text and "a fault of our own" in caplog.text
@@ -138,7 +138,7 @@
             assert (await bench.answers.get()).what == "refused"
             assert bench.partner.requests.empty()
         bench.journal.reserve_due = 0.0
-        bench.offer(Offer(b"m2", "note", 7, 6000.0, b""))
+        bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
         assert await bench.answers.get() == TAKEN
         assert (await bench.partner.next()).headers["x-correlation-id"] == "m2"
 
@@ -177,7 +177,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         for number in range(bench.node.settings.max_held + 1):
-            bench.offer(Offer(b"m%d" % number, "note", 7, 6000.0, b""))
+            bench.offer(Submission(b"m%d" % number, "note", 7, 6000.0, b""))
         assert await bench.answers.get() == Reply("refused", BUSY_MS)
 
 
@@ -249,7 +249,7 @@
             gone = [] if full else [{"id": f"n{number - 1}", "state": "DELETED"}]
             bench.node.listing.take({"version": number, "full": full, "servers": [row, *gone]})
             bench.journal.chill(f"n{number}", 1.0)
-            bench.offer(Offer(b"m%d" % number, "note", 1000 + number, 6000.0, b"", key=number + 1))
+            bench.offer(Submission(b"m%d" % number, "note", 1000 + number, 6000.0, b"", key=number + 1))
             bench.node.turn()
             assert await bench.answers.get() == TAKEN
             (await bench.partner.next()).answer(200)
@@ -290,9 +290,9 @@
     @with_bench(tmp_path)
     async def _(bench):
         pool, decisions = bench.node.endpoints, bench.node.dispatcher
-        bench.offer(Offer(b"m1", "note", 7, 500.0 if what == "time-out" else 6000.0, b""))
+        bench.offer(Submission(b"m1", "note", 7, 500.0 if what == "time-out" else 6000.0, b""))
         first = await bench.partner.next()
-        bench.offer(Offer(b"m2", "note", 7, 6000.0, b""))
+        bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
         second = await bench.partner.next()
         believed, held = believed_and_held(bench)
         assert believed == held == ({"e1": (2, 0)}, 2)
@@ -332,12 +332,12 @@
     async def _(bench):
         hung = [bench.partner, await bench.add("e2", destination=8)]
         for destination in (7, 8):
-            bench.offer(Offer(b"first%d" % destination, "note", destination, 6000.0, b""))
+            bench.offer(Submission(b"first%d" % destination, "note", destination, 6000.0, b""))
         calls = [await peer.next() for peer in hung]
         well = [await bench.add("e3"), await bench.add("e4", destination=8)]
         for name, rest in ((b"soon", 0.5), (b"late", 0.0)):  # longer than twice a usual call
             for destination, peer in zip((7, 8), well, strict=True):
-                bench.offer(Offer(b"%s%d" % (name, destination), "note", destination, 6000.0, b""))
+                bench.offer(Submission(b"%s%d" % (name, destination), "note", destination, 6000.0, b""))
                 (await peer.next()).answer(200)
             await asyncio.sleep(rest)
         assert not any(call.over.is_set() for call in calls)  # these still hang
@@ -353,14 +353,14 @@
         time = bench.node.loop.time
         bench.node.loop.time = lambda: time() + 8.0
         for number in range(8):
-            bench.offer(Offer(b"next%d" % number, "note", 7, 6000.0, b""))
+            bench.offer(Submission(b"next%d" % number, "note", 7, 6000.0, b""))
         await bench.partner.next()
         assert len(bench.node.endpoints.calls) == 8
 
 
 async def served(bench, count):
     for _ in range(count):
-        bench.offer(Offer(b"well%d" % bench.node.numbers, "note", 7, 6000.0, b""))
+        bench.offer(Submission(b"well%d" % bench.node.numbers, "note", 7, 6000.0, b""))
         (await bench.partner.next()).answer(200)
 
 
@@ -374,7 +374,7 @@
         bench.journal.warm = warmed.put_nowait
         await served(bench, 3)
         while not chilled:
-            bench.offer(Offer(b"lost%d" % bench.node.numbers, "pay", 7, 24000.0, b""))
+            bench.offer(Submission(b"lost%d" % bench.node.numbers, "pay", 7, 24000.0, b""))
             (await bench.partner.next()).reset()
             await bench.ends.get()
         await served(bench, 1)
--- a/tests/test_partners_cloudevents.py
+++ b/tests/test_partners_cloudevents.py
@@ -11,7 +11,7 @@
 
 from crowpier import Dispatcher
 from crowpier.interface import Outcome
-from rushhitch.acceptor import Offer
+from rushhitch.acceptor import Submission
 from rushhitch.cloudevents.events import Event
 from rushhitch.cloudevents.http import decode
 from rushhitch.core.listing import with_singles
@@ -154,7 +154,7 @@
         node.listing.codecs = {7: CloudEvents("binary", "/rushhitch", {})}
         node.listing.take({"version": 42, "full": True, "servers": [bench.row]})
         for number in range(8):
-            node.offer(Offer(b"m%d" % number, "note", 7, 6000.0, b""), lambda reply: None)
+            node.offer(Submission(b"m%d" % number, "note", 7, 6000.0, b""), lambda reply: None)
         first = [await bench.partner.next() for _ in range(3)]
         await asyncio.sleep(0.2)
         assert bench.partner.requests.empty(), "three slots are three calls"
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -13,7 +13,7 @@
 from crowpier import Dispatcher
 from crowpier.interface import Outcome
 from rushhitch import connection
-from rushhitch.acceptor import TAKEN, Offer
+from rushhitch.acceptor import TAKEN, Submission
 from rushhitch.core.messages import InheritedAttempt
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
@@ -204,7 +204,7 @@
 
     @with_bench(tmp_path)
     async def _(bench):
-        bench.node.offer(Offer(b"m1", "pay", 7, 6000.0, b"hello"), bench.answers.put_nowait)
+        bench.node.offer(Submission(b"m1", "pay", 7, 6000.0, b"hello"), bench.answers.put_nowait)
         assert await bench.answers.get() == TAKEN
         while bench.partner.connections == 0:
             await asyncio.sleep(0.005)
@@ -272,7 +272,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.offer(OFFER, lambda reply: False)
-        bench.node.offer(Offer(b"m2", "note", 7, 6000.0, b"hello"), bench.answers.put_nowait)
+        bench.node.offer(Submission(b"m2", "note", 7, 6000.0, b"hello"), bench.answers.put_nowait)
         assert await bench.answers.get() == TAKEN
         assert (await bench.partner.next()).headers["x-correlation-id"] == "m2"
         assert bench.partner.requests.empty()
@@ -301,7 +301,9 @@
 
         monkeypatch.setattr(Files, "write", fails)
         for number in range(3):
-            bench.node.offer(Offer(b"m%d" % number, "pay", 7, 6000.0, b"hello"), bench.answers.put_nowait)
+            bench.node.offer(
+                Submission(b"m%d" % number, "pay", 7, 6000.0, b"hello"), bench.answers.put_nowait
+            )
         assert [(await bench.answers.get()).what for _ in range(3)] == ["refused"] * 3
         failing[0] = False
         bench.node.commit()
@@ -313,7 +315,7 @@
     # Before, a kill could make the next process send what was told as ended; afterwards it sends nothing.
     @with_bench(tmp_path)
     async def _(bench):
-        bench.node.offer(Offer(b"m1", "pay", 7, 700.0, b"hello"), bench.answers.put_nowait)
+        bench.node.offer(Submission(b"m1", "pay", 7, 700.0, b"hello"), bench.answers.put_nowait)
         assert await bench.answers.get() == TAKEN
         request = await bench.partner.next()
         started = asyncio.get_running_loop().time()
@@ -353,7 +355,7 @@
     # Guards against two ends for one message: after a kill, its attempt has no outcome and may have run.
     @with_bench(tmp_path)
     async def _(bench):
-        bench.offer(Offer(b"m1", "pay", 7, 700.0, b""))
+        bench.offer(Submission(b"m1", "pay", 7, 700.0, b""))
         request = await bench.partner.next()
 
         def no_room(self, fd, data):
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -15,7 +15,7 @@
 from test_node import with_bench
 
 from lab.addresses import free_address
-from rushhitch.acceptor import TAKEN, Offer
+from rushhitch.acceptor import TAKEN, Submission
 from rushhitch.core.operators import Operators
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.succession import channel as channels
@@ -504,7 +504,7 @@
         )
         held = {path: path.read_bytes() for path in (tmp_path / "state").iterdir() if path.is_file()}
         assert [loan[:3] for loan in told["loans"]] == [(1, 0, "e1")]
-        bench.node.offer(Offer(b"m2", "note", 7, 6000.0, b""), bench.answers.put_nowait)
+        bench.node.offer(Submission(b"m2", "note", 7, 6000.0, b""), bench.answers.put_nowait)
         bench.node.withdraw(1)
         bench.node.abandon(1, "its client has gone")
         assert abandoned == [1]
