--- a/rushhitch/acceptor.py
+++ b/rushhitch/acceptor.py
@@ -40,9 +40,11 @@
 
 
 TAKEN, DELIVERED, FAILED = Reply("taken"), Reply("delivered"), Reply("failed")
-Answer = Callable[[Reply], object]  # gives False where "taken" did not reach the system whole in this step
-Reachable = Callable[[], bool]  # whether an answer given now reaches the system in the same step
-LookForClient = Callable[
+ReplyCallback = Callable[
+    [Reply], object
+]  # gives False where "taken" did not reach the system whole in this step
+ReachabilityCheck = Callable[[], bool]  # whether an answer given now reaches the system in the same step
+ClientCheck = Callable[
     [], None
 ]  # has `Acceptor.abandon` called, in this step, where the client is gone by now
 
@@ -52,7 +54,7 @@
     return True
 
 
-def leave_unwatched() -> None:
+def no_client_check() -> None:
     """For clients whose message is the same one when they hand it in again."""
 
 
@@ -89,26 +91,26 @@
     def offer(
         self,
         offer: Submission,
-        answer: Answer,
-        ended: Answer | None = None,
-        reachable: Reachable = always_reachable,
-        look_for_client: LookForClient = leave_unwatched,
+        answer: ReplyCallback,
+        ended: ReplyCallback | None = None,
+        reachable: ReachabilityCheck = always_reachable,
+        check_client: ClientCheck = no_client_check,
     ) -> int:
         """Take the offer; `answer` is called once, soon, with "taken", "refused" or "failed". An offer whose
         client is not `reachable` as it would be taken is refused, and nothing is done for it. After "taken",
-        `look_for_client` is called in the step of each call's last byte, before that byte, and
+        `check_client` is called in the step of each call's last byte, before that byte, and
         `ended` is called once, with the message's end, if this process sees it. An offer with the id of a
         message that is held is that message; one that is remembered past its end is answered with that end.
         Gives a handle, 0 where there is nothing to withdraw; raises `BadRequest`, and then neither is
         called."""
 
-    def acknowledge(self, told: Acknowledgement, answer: Answer) -> None:
+    def acknowledge(self, told: Acknowledgement, answer: ReplyCallback) -> None:
         """A partner's word on a message that it answered before. `answer` is called once, soon."""
 
     def withdraw(self, handle: int) -> None:
         """The client has gone without its answer. A message whose offer was answered stays."""
 
-    def look_by(self, handle: int, look_for_client: LookForClient) -> None:
+    def set_client_check(self, handle: int, check_client: ClientCheck) -> None:
         """From now on that is called before each last byte: the client's connection was passed on."""
 
     def abandon(self, handle: int, why: str) -> None:
--- a/rushhitch/core/messages.py
+++ b/rushhitch/core/messages.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 
 from rushhitch.acceptor import (
-    Answer,
-    LookForClient,
-    Reachable,
+    ClientCheck,
+    ReachabilityCheck,
+    ReplyCallback,
     Verdict,
     always_reachable,
-    leave_unwatched,
+    no_client_check,
 )
 from rushhitch.core.lifecycle import Stage
 from rushhitch.endpoints import Result
@@ -51,11 +51,11 @@
     kept: Kept
     attempts: int
     due: float  # when its time is up, by the clock of the event loop, in seconds
-    answer: Answer | None = None
-    reachable: Reachable = always_reachable  # whether that client can be answered in this step
-    look_for_client: LookForClient = leave_unwatched  # asked before each call
+    answer: ReplyCallback | None = None
+    reachable: ReachabilityCheck = always_reachable  # whether that client can be answered in this step
+    check_client: ClientCheck = no_client_check  # asked before each call
     stage: Stage = Stage.ACCEPTED  # changed by `Lifecycle.advance` alone
-    completion_listeners: list[Answer] = field(default_factory=list)  # those who want to hear its end
+    completion_listeners: list[ReplyCallback] = field(default_factory=list)  # those who want to hear its end
     hearers: int = 1  # clients that were answered that it is accepted, less those that cannot have heard
     resumed: bool = False  # an earlier process accepted it
     out: set[int] = field(default_factory=set)
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -20,16 +20,16 @@
     FAILED,
     TAKEN,
     Acknowledgement,
-    Answer,
     BadRequest,
-    LookForClient,
+    ClientCheck,
     Pending,
-    Reachable,
+    ReachabilityCheck,
     Reply,
+    ReplyCallback,
     Submission,
     Verdict,
     always_reachable,
-    leave_unwatched,
+    no_client_check,
 )
 from rushhitch.config.history import History
 from rushhitch.control.bans import Bans
@@ -117,7 +117,7 @@
         self.past = Past()
         self.start_report = StartReport()
         self.recent_ends = RecentEnds()
-        self.completions: list[tuple[Answer, Reply]] = []  # likewise, for those who wait
+        self.completions: list[tuple[ReplyCallback, Reply]] = []  # likewise, for those who wait
         self.retrying: asyncio.TimerHandle | None = None
         self.fresh_bytes = 0
         self.reminder: asyncio.TimerHandle | None = None
@@ -180,10 +180,10 @@
     def offer(
         self,
         offer: Submission,
-        answer: Answer,
-        ended: Answer | None = None,
-        reachable: Reachable = always_reachable,
-        look_for_client: LookForClient = leave_unwatched,
+        answer: ReplyCallback,
+        ended: ReplyCallback | None = None,
+        reachable: ReachabilityCheck = always_reachable,
+        check_client: ClientCheck = no_client_check,
     ) -> int:
         """A client hands a message in; it is answered at the end of the turn. `Acceptor` tells the rest."""
         if not self.lifecycle.accepting():
@@ -242,7 +242,7 @@
         )
         message = self.enter(kept, answer)
         message.stage = Stage.RECEIVED
-        message.reachable, message.look_for_client = reachable, look_for_client
+        message.reachable, message.check_client = reachable, check_client
         if ended is not None:
             message.completion_listeners.append(ended)
         if self.limits.counts is not None:
@@ -281,7 +281,7 @@
         """A time of the event loop's clock as others read it now: Unix time in seconds."""
         return time.time() + due - self.loop.time()
 
-    def enter(self, kept: Kept, answer: Answer | None = None) -> Message:
+    def enter(self, kept: Kept, answer: ReplyCallback | None = None) -> Message:
         due = self.due_of(kept)
         message = Message(kept.number, kept, kept.attempts, due, answer)
         if self.sinks is not None and self.sinks.named(kept.attributes):
@@ -311,10 +311,10 @@
         self.close(message, Effect.WITHDRAW, end=WITHDRAWN)
         self.note(api.Withdrawn(message.number))
 
-    def look_by(self, number: int, look_for_client: LookForClient) -> None:
+    def set_client_check(self, number: int, check_client: ClientCheck) -> None:
         """See `Acceptor`."""
         if (message := self.messages.get(number)) is not None:
-            message.look_for_client = look_for_client
+            message.check_client = check_client
 
     def abandon(self, number: int, why: str) -> None:
         """See `Acceptor`."""
@@ -417,7 +417,7 @@
                 self.attempt_ended(replace(message.pending, later=False))
             self.commit()
 
-    def acknowledge(self, told: Acknowledgement, answer: Answer) -> None:
+    def acknowledge(self, told: Acknowledgement, answer: ReplyCallback) -> None:
         """See `Acceptor`. It is answered once the journal tells of what it did."""
         message = self.by_id.get(told.message)
         if message is None or message.kept.destination != told.destination:
@@ -626,7 +626,7 @@
         message = self.messages.get(attempt.message)
         if message is None:
             return False
-        message.look_for_client()
+        message.check_client()
         return self.lifecycle.permits(message, Effect.SEND)
 
     def begin(self, endpoint: str, attempts: list[Attempt], go: Callable[[list[Attempt]], None]) -> None:
@@ -862,7 +862,7 @@
         return replace(notice, result=FAILED_NOTICE, wait_ms=0.0)
 
 
-def told(answer: Answer) -> bool:
+def told(answer: ReplyCallback) -> bool:
     """Whether the client's answer, that its message is accepted, is wholly in the system's hands."""
     try:
         return answer(TAKEN) is not False
--- a/rushhitch/fronts/client_connection.py
+++ b/rushhitch/fronts/client_connection.py
@@ -181,7 +181,7 @@
         self.confirming = None
         if self.sock is None or not self.open():
             return
-        self.look_for_client()  # what has come may be unread, while the connection rests
+        self.check_client()  # what has come may be unread, while the connection rests
         now, unconfirmed = self.loop.time(), unacknowledged(self.sock)
         for handle in self.receipts.overdue(unconfirmed, now):
             self.acceptor.abandon(handle, NOT_CONFIRMED)
@@ -189,7 +189,7 @@
         if again_at is not None:
             self.confirming = self.loop.call_at(again_at, self.confirm_heard)
 
-    def look_for_client(self, seen: Ending | None = None) -> None:
+    def check_client(self, seen: Ending | None = None) -> None:
         """See whether the client has gone in the meantime, before anything is done for it; `seen` is how, as
         far as that was read. A reset may stand behind an end of input, which is read first."""
         if not self.receipts.doubtful:
@@ -271,7 +271,7 @@
             self.receipts.wrote(len(answer))
             left, self.left_in_order = self.left_in_order, False
             if left:
-                self.look_for_client()
+                self.check_client()
             self.transport.write(answer)
             if left:
                 self.excuse_reset()
@@ -302,7 +302,7 @@
         is not accepted yet is refused, which is right for one that still listens as well. Where it may not
         have read its last answer the connection stays a moment: its client may close over that."""
         self.input_closed = True
-        self.look_for_client(Ending.INPUT_ENDED)
+        self.check_client(Ending.INPUT_ENDED)
         self.serve_out()
         self.left_in_order = True
         self.withdraw_requests()
@@ -313,7 +313,7 @@
         return False
 
     def end_input(self) -> None:
-        self.look_for_client()
+        self.check_client()
         self.end(Close.ENDED)  # once its answers are written
 
     def refuse(self, text: str, fault: Fault) -> None:
@@ -383,7 +383,7 @@
         """The process ends: in this step, all that was read is answered and the connection is closed. A
         request of which only a part has come is refused."""
         self.finishing = True
-        self.look_for_client()
+        self.check_client()
         self.serve_out()
         self.withdraw_requests()
         if self.size and not self.deaf and self.open():
@@ -400,7 +400,7 @@
         self.asked = adopted.asked
         for handle in adopted.doubtful:
             self.receipts.accepted(handle, self.loop.time())
-            self.acceptor.look_by(handle, self.look_for_client)
+            self.acceptor.set_client_check(handle, self.check_client)
         self.watch_receipts()
         if adopted.tail:
             self.data_received(adopted.tail)
--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -225,7 +225,7 @@
                     parse_offer(words),
                     lambda reply: self.answer(slot, reply),
                     reachable=lambda: self.reachable(slot),
-                    look_for_client=self.look_for_client,
+                    check_client=self.check_client,
                 )
                 if slot.accepted and handle:  # a message that was accepted before
                     self.receipts.accepted(handle, self.loop.time())
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -24,7 +24,7 @@
         self.withdrawn, self.abandoned = asyncio.Queue(), asyncio.Queue()
         self.handles = 0
 
-    def offer(self, offer, answer, ended=None, reachable=None, look_for_client=None):
+    def offer(self, offer, answer, ended=None, reachable=None, check_client=None):
         self.handles += 1
         self.offers.put_nowait((offer, answer))
         return self.handles
