--- a/rushhitch/acceptor.py
+++ b/rushhitch/acceptor.py
@@ -7,8 +7,8 @@
 from enum import Enum
 from typing import Protocol
 
-MOST_BODY = 65_536  # bytes of a message
-MOST_ID = 128  # bytes of its id
+MAX_BODY_BYTES = 65_536  # bytes of a message
+MAX_ID_BYTES = 128  # bytes of its id
 
 
 @dataclass(frozen=True, slots=True)
--- a/rushhitch/control/words.py
+++ b/rushhitch/control/words.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 MOST_LINE = 512  # bytes: a word and an id, with room to spare
-MOST_ID = 256  # characters of an endpoint's id
+MAX_ID_BYTES = 256  # characters of an endpoint's id
 YES, NO, END = b"ACK", b"NAK", b"--"
 TAKES_ID = {"PING": False, "INFO": False, "DETACH": True, "ATTACH": True}
 
@@ -66,8 +66,8 @@
         if ids:
             raise BadCommand(f"{word} takes nothing after it")
         return Command(word)
-    if len(ids) != 1 or len(ids[0]) > MOST_ID:
-        raise BadCommand(f"{word} takes one endpoint's id of {MOST_ID} characters at most")
+    if len(ids) != 1 or len(ids[0]) > MAX_ID_BYTES:
+        raise BadCommand(f"{word} takes one endpoint's id of {MAX_ID_BYTES} characters at most")
     return Command(word, ids[0])
 
 
--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -6,7 +6,7 @@
 
 import hiredis
 
-from rushhitch.acceptor import MOST_BODY, MOST_ID, BadRequest, Pending, Reply, Submission
+from rushhitch.acceptor import MAX_BODY_BYTES, MAX_ID_BYTES, BadRequest, Pending, Reply, Submission
 from rushhitch.fronts.client_connection import MOST_REQUEST, ClientConnection, ConnectionOwner, Fault, Slot
 
 PONG = b"+PONG\r\n"
@@ -14,7 +14,7 @@
 NOTHING = object()  # what the reader gives while no request is complete
 MOST_LINE = 16  # bytes of a line that tells a length
 MOST_KEY = 32  # digits of a key of order
-IDEMPOTENCY = re.compile(rb"[!-~]{0,%d}" % MOST_ID)
+IDEMPOTENCY = re.compile(rb"[!-~]{0,%d}" % MAX_ID_BYTES)
 BURST = 32  # requests of one connection that are served, or without their answers, at once
 REST_S = 0.005  # before the further ones
 TURNED_AWAY_S = 0.1  # before anything more is read of one that was turned away
@@ -44,10 +44,10 @@
     if len(words) != 5:
         raise BadRequest(f"OUT.ADD takes key, id, fields and body, not {len(words) - 1} words")
     _, key, name, fields, body = words
-    if not 0 < len(name) <= MOST_ID or not all(33 <= byte < 127 for byte in name):
-        raise BadRequest(f"the id must be 1 to {MOST_ID} printable characters without spaces")
-    if len(body) > MOST_BODY:
-        raise BadRequest(f"the body has {len(body)} bytes, more than {MOST_BODY}")
+    if not 0 < len(name) <= MAX_ID_BYTES or not all(33 <= byte < 127 for byte in name):
+        raise BadRequest(f"the id must be 1 to {MAX_ID_BYTES} printable characters without spaces")
+    if len(body) > MAX_BODY_BYTES:
+        raise BadRequest(f"the body has {len(body)} bytes, more than {MAX_BODY_BYTES}")
     if not re.fullmatch(rb"[0-9a-fA-F]{1,%d}" % MOST_KEY, key):
         raise BadRequest(f"the key must be hexadecimal, not {key[:40]!r}")
     told = dict(pair.partition("=")[::2] for pair in fields.decode("latin-1").split(","))
@@ -56,7 +56,7 @@
             raise BadRequest(f"the field {wanted} is missing")
     idempotency = told.get("k", "").encode("latin-1")
     if not IDEMPOTENCY.fullmatch(idempotency):
-        raise BadRequest(f"k must be up to {MOST_ID} printable characters without spaces")
+        raise BadRequest(f"k must be up to {MAX_ID_BYTES} printable characters without spaces")
     return Submission(
         name,
         told["c"],
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rushhitch.acceptor import MOST_BODY, TAKEN, BadRequest, Reply
+from rushhitch.acceptor import MAX_BODY_BYTES, TAKEN, BadRequest, Reply
 from rushhitch.fronts import admission
 from rushhitch.fronts import resp2 as clients
 from rushhitch.fronts.listener import Clients
@@ -171,7 +171,7 @@
         ([b"OUT.ADD", b"0", b"m1", b"d=1,dest=1", b""], b"field c"),
         ([b"OUT.ADD", b"0", b"m1", b"c=note,d=-1,dest=1", b""], b"d must"),
         ([b"OUT.ADD", b"0", b"m1", b"c=note,d=1,dest=north", b""], b"dest must"),
-        ([b"OUT.ADD", b"0", b"m1", b"c=note,d=1,dest=1", bytes(MOST_BODY + 1)], b"65536"),
+        ([b"OUT.ADD", b"0", b"m1", b"c=note,d=1,dest=1", bytes(MAX_BODY_BYTES + 1)], b"65536"),
     ],
 )
 def test_a_request_that_makes_no_sense_gets_an_error_and_the_next_is_served(words, says):
