--- a/rushhitch/core/listing.py
+++ b/rushhitch/core/endpoint_registry.py
@@ -24,7 +24,7 @@
 SINGLY = ", one message a call"  # after a kind's name
 
 
-def with_singles(settings: Settings) -> Settings:
+def with_unbatched_kinds(settings: Settings) -> Settings:
     """The settings, and a kind beside each that takes batches, for endpoints of it whose protocol has none.
     Guards against the decisions taking several calls for one."""
     singles = tuple(
@@ -33,7 +33,7 @@
     return replace(settings, kinds=settings.kinds + singles)
 
 
-class Listing:
+class EndpointRegistry:
     """The endpoints, in the order of the list. `codecs` are by destination: the others speak the platform's
     protocol. Kinds and zones are those of the settings at the start: they change with a restart."""
 
@@ -59,7 +59,7 @@
         self.gate: Gate | None = None  # where partners must agree to be sent anything
         self.rows: dict[str, dict[str, Any]] = {}  # of endpoints that it covers, as they are listed
 
-    def take(self, news: dict[str, Any], cached: bool = False) -> None:
+    def apply_update(self, news: dict[str, Any], cached: bool = False) -> None:
         """A list or its changes, in discovery's form; an entry that makes no sense is left out."""
         full = bool(news.get("full"))
         kind = api.ListKind.CACHED if cached else api.ListKind.FULL if full else api.ListKind.DELTA
@@ -142,10 +142,10 @@
         """What the decision module calls the endpoint's lane."""
         return entry.endpoint if self.all_kinds[entry.kind].apart else entry.destination
 
-    def regate(self, endpoint: str) -> None:
+    def reapply_gate(self, endpoint: str) -> None:
         """The gate has changed its mind on the endpoint."""
         if (row := self.rows.get(endpoint)) is not None:
-            self.take({"full": False, "servers": [row]})
+            self.apply_update({"full": False, "servers": [row]})
 
     def gated_lanes(self) -> dict[str, int | str]:
         """The lanes of the endpoints that the gate covers."""
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -36,10 +36,10 @@
 from rushhitch.core.acknowledgements import ACKNOWLEDGED, UNKNOWN, Past, effect
 from rushhitch.core.acknowledgements import Effect as Acknowledged
 from rushhitch.core.ended import KEEP_S, MOST, End, Ended
+from rushhitch.core.endpoint_registry import EndpointRegistry
 from rushhitch.core.figures import Figures
 from rushhitch.core.lifecycle import Effect, Lifecycle, Phase, Stage
 from rushhitch.core.limits import Limits
-from rushhitch.core.listing import Listing
 from rushhitch.core.messages import BUSY_MS, InheritedAttempt, Message, PendingNotice
 from rushhitch.core.recent_ends import RecentEnds
 from rushhitch.core.request_log import FINAL_ANSWER, log_abandoned, log_refusal, log_step, log_untried_end
@@ -101,7 +101,9 @@
         self.figures = Figures(self.classes)
         self.bans = bans  # endpoints that operators took out
         self.limits = Limits(settings.dispatchers, self.note, dispatcher.held)
-        self.listing = Listing(settings, codecs or {}, self.endpoints, journal, self.limits, self.note)
+        self.registry = EndpointRegistry(
+            settings, codecs or {}, self.endpoints, journal, self.limits, self.note
+        )
         self.inherited: dict[tuple[int, int], InheritedAttempt] = {}  # an earlier process ends them
         self.call_back: Callable[[int, int], None] = lambda message, attempt: None  # one of them
         self.abandon_elsewhere: Callable[[int, str], None] = lambda message, why: None  # once relinquished
@@ -197,7 +199,7 @@
             offer = replace(offer, tenant="")
         elif offer.tenant and offer.tenant not in self.tenants:
             raise BadRequest(f"unknown tenant {offer.tenant[:40]!r}")
-        if offer.destination not in self.listing.destinations:
+        if offer.destination not in self.registry.destinations:
             raise BadRequest(f"unknown destination {offer.destination}")
         if held := self.by_id.get(offer.id):
             if held.answer is not None:
@@ -389,7 +391,7 @@
 
     def acknowledges(self, destination: int) -> bool:
         """Whether its answers may only say that an acknowledgement is to come."""
-        return self.listing.codecs.get(destination, PLATFORM).later(ACCEPTED)
+        return self.registry.codecs.get(destination, PLATFORM).later(ACCEPTED)
 
     def ordered(self, kept: Kept) -> bool:
         """Whether messages of its key go one after another."""
@@ -526,12 +528,12 @@
         self.note(api.Dropped(endpoint))
 
     def withdrawn(self, endpoint: str) -> None:
-        if (gate := self.listing.gate) is not None and endpoint in self.listing.rows:
+        if (gate := self.registry.gate) is not None and endpoint in self.registry.rows:
             gate.withdrawn(endpoint)
 
     def set_gate(self, gate: Gate) -> None:
         """From now on it says which endpoints of the destinations that it covers may be called."""
-        self.listing.gate, self.limits.stating = gate, True
+        self.registry.gate, self.limits.stating = gate, True
 
     # Actions
 
--- a/rushhitch/core/operators.py
+++ b/rushhitch/core/operators.py
@@ -38,9 +38,9 @@
         log.info("endpoint %s is given back by operators", endpoint)
 
     def change_bans(self, endpoint: str, change: Callable[[Bans], None]) -> None:
-        bans, listing = self.node.bans, self.node.listing
+        bans, registry = self.node.bans, self.node.registry
         assert bans is not None, "there is no control address"
-        if not any(endpoint in known for known in (listing.entries, listing.left, bans.ids)):
+        if not any(endpoint in known for known in (registry.entries, registry.left, bans.ids)):
             raise Refused(f"no endpoint is called {endpoint}: INFO tells how many there are")
         try:
             change(bans)
@@ -51,7 +51,7 @@
         """The figures as of now; what was handed over is told by the process that has it."""
         node = self.node
         held = 0 if node.relinquished else len(node.by_id)
-        known = len(node.listing.entries), node.dispatcher.avoided()
+        known = len(node.registry.entries), node.dispatcher.avoided()
         told = node.figures.report(node.endpoints.written, held, *known)
         start = node.start_report.counts()
         return told | {"refused_effects": node.lifecycle.counts(), "found_at_start": start}
--- a/rushhitch/core/state_transfer.py
+++ b/rushhitch/core/state_transfer.py
@@ -56,7 +56,7 @@
             "learned": learned.export(node.dispatcher),
             "loans": [astuple(loan) for loan in loans],
             "waits": [(lane, until) for lane, until in node.endpoints.waits.items() if until > now],
-            "servers": list(node.listing.servers.values()),
+            "servers": list(node.registry.servers.values()),
             **self.more(),
         }
         node.lifecycle.enter(Phase.RELINQUISHED)
--- a/rushhitch/partners/gate.py
+++ b/rushhitch/partners/gate.py
@@ -9,7 +9,7 @@
 class Gate(Protocol):
     """Says which endpoints of the destinations that it covers may be called. The core tells it of each that
     is listed, again at each change, and goes by `open` from then on; a gate that changes its mind calls
-    `Covered.regate`. What it keeps shut is to the decision module as one that drains: no new calls."""
+    `Covered.reapply_gate`. What it keeps shut is to the decision module as one that drains: no new calls."""
 
     def covers(self, destination: int) -> bool:
         """Whether it has a say there; the same answer always."""
@@ -30,7 +30,7 @@
 class Covered(Protocol):
     """What the core keeps of the endpoints that a gate covers."""
 
-    def regate(self, endpoint: str) -> None:
+    def reapply_gate(self, endpoint: str) -> None:
         """The gate has changed its mind on the endpoint."""
 
     def gated_lanes(self) -> Mapping[str, int | str]:
--- a/rushhitch/partners/handshake.py
+++ b/rushhitch/partners/handshake.py
@@ -113,7 +113,7 @@
         else:
             log.warning("%s does not agree to be sent events: %s", endpoint, known.why)
         self.state_limits(self.rates())  # before the first call can go
-        self.covered.regate(endpoint)
+        self.covered.reapply_gate(endpoint)
 
     # Stated limits
 
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -30,9 +30,9 @@
 from rushhitch.control.bans import Bans
 from rushhitch.control.server import MOST_CALLERS, Control
 from rushhitch.control.words import TAKES_ID, BadCommand, Refused, answer, parse
+from rushhitch.core.endpoint_registry import with_unbatched_kinds
 from rushhitch.core.figures import Figures
 from rushhitch.core.lifecycle import Phase
-from rushhitch.core.listing import with_singles
 from rushhitch.core.messages import InheritedAttempt
 from rushhitch.core.node import Node
 from rushhitch.core.operators import Operators
@@ -149,11 +149,11 @@
         known = configuration.known
         if inheritance.told is not None:
             known = {name: inheritance.told[name] for name in ("version", "servers")} | {"full": True}
-        node.listing.take(known, cached=True)
+        node.registry.apply_update(known, cached=True)
         self.watch = Watch(
             configuration.discovery,
             known["version"],
-            node.listing.take,
+            node.registry.apply_update,
             random.Random(configuration.seed),
             dispatchers=configuration.settings.dispatchers,
         )
@@ -182,7 +182,7 @@
             resume(node, told["learned"], [InheritedAttempt(*loan) for loan in told["loans"]])
         else:
             resume(node)
-        if any(message.kept.destination not in node.listing.destinations for message in node.by_id.values()):
+        if any(message.kept.destination not in node.registry.destinations for message in node.by_id.values()):
             self.watch.asks.spread_s = 0.0  # held messages wait for a list: it is asked for at once
         self.platform.start()
         if self.planners is not None:
@@ -421,7 +421,7 @@
 
     asking = own.events.handshake
     agreements = Agreements(asking.origin, asking.rate, asking.renew_s * 1000.0)
-    seams = (node.endpoints.ask, node.limits.state_limits, node.listing)
+    seams = (node.endpoints.ask, node.limits.state_limits, node.registry)
     handshake = Handshake(*seams, agreements, asking.destinations, own.events.path)
     node.set_gate(handshake)
     return handshake
@@ -496,7 +496,7 @@
 def in_force(configuration: Configuration) -> Settings:
     """The settings as the decisions have them."""
     settings = configuration.settings
-    return with_singles(settings) if codecs(configuration.own) else settings
+    return with_unbatched_kinds(settings) if codecs(configuration.own) else settings
 
 
 def check_classes(configuration: Configuration) -> None:
--- a/tests/lives.py
+++ b/tests/lives.py
@@ -216,7 +216,7 @@
         self.node.loop, self.node.endpoints, partner.node = outside.time, partner, self.node
         row = {"addr": "127.0.0.1:1", "zone": "a", "kind": "firms", "cell": 7, "state": "SERVING"}
         rows = [row | {"id": name, "weight": 1.0, "started_ms": 0} for name in ("e1", "e2", "e3")]
-        self.node.listing.take({"version": 41, "full": True, "servers": rows}, cached=True)
+        self.node.registry.apply_update({"version": 41, "full": True, "servers": rows}, cached=True)
         self.begin()
 
     def begin(self) -> None:
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -127,8 +127,8 @@
 
     async def open(self, node):
         self.node = node
-        node.listing.codecs = {7: CloudEvents("binary", "/rushhitch", {}, acknowledged=True)}
-        node.listing.take({"version": 42, "full": False, "servers": [self.row]})
+        node.registry.codecs = {7: CloudEvents("binary", "/rushhitch", {}, acknowledged=True)}
+        node.registry.apply_update({"version": 42, "full": False, "servers": [self.row]})
         self.clients = Clients(node, 16)
         self.http = self.clients.listen(("127.0.0.1", 0), "cloudevents", front(WITH_ACKS))
         self.resp2 = self.clients.listen(("127.0.0.1", 0), "resp2", Resp2)
@@ -298,7 +298,9 @@
 def test_one_for_a_message_that_was_never_sent_is_told_so(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
-        bank.node.listing.take({"version": 43, "full": False, "servers": [bank.row | {"state": "DRAINING"}]})
+        bank.node.registry.apply_update(
+            {"version": 43, "full": False, "servers": [bank.row | {"state": "DRAINING"}]}
+        )
         bank.post()
         await bank.answers.get()
         assert await bank.acknowledge() == (404, "unknown")
@@ -372,7 +374,7 @@
     classes = tuple(replace(cls, in_order=cls.name == "pay") for cls in bank.node.settings.classes)
     settings = replace(bank.node.settings, classes=classes)
     bank.node.settings, bank.node.dispatcher = settings, type(bank.node.dispatcher)(settings, 1)
-    bank.node.listing.take({"version": 42, "full": True, "servers": [bank.row]})
+    bank.node.registry.apply_update({"version": 42, "full": True, "servers": [bank.row]})
 
 
 @pytest.mark.parametrize(("kind", "then"), [(DONE, "m2"), (NEVER, "m1"), (BROKE, "m2")])
--- a/tests/test_cloudevents_sinks.py
+++ b/tests/test_cloudevents_sinks.py
@@ -55,8 +55,8 @@
     async def open(self, node):
         self.node = node
         node.sinks = SINKS
-        node.listing.codecs = {9: CloudEvents("structured", "/rushhitch", {})}
-        node.listing.take({"version": 42, "full": False, "servers": [self.row, self.sink_row]})
+        node.registry.codecs = {9: CloudEvents("structured", "/rushhitch", {})}
+        node.registry.apply_update({"version": 42, "full": False, "servers": [self.row, self.sink_row]})
         self.clients = Clients(node, 16)
         self.http = self.clients.listen(("127.0.0.1", 0), "cloudevents", front(WITH_SINKS))
 
@@ -115,7 +115,9 @@
 def test_a_refusal_after_it_was_taken_on_is_told_too_and_one_before_is_the_answer(tmp_path):
     @with_desk(tmp_path)
     async def _(desk):
-        desk.node.listing.take({"version": 43, "full": False, "servers": [desk.row | {"state": "DRAINING"}]})
+        desk.node.registry.apply_update(
+            {"version": 43, "full": False, "servers": [desk.row | {"state": "DRAINING"}]}
+        )
         soon = "2099-01-01T00:00:00Z"
         assert (await desk.post(expirytime=soon))[0] == 202
         message = desk.node.messages[1]
@@ -173,8 +175,8 @@
 def test_an_event_that_waits_for_its_acknowledgement_is_told_with_it(tmp_path):
     @with_desk(tmp_path)
     async def _(desk):
-        desk.node.listing.codecs[7] = CloudEvents("binary", "/rushhitch", {}, acknowledged=True)
-        desk.node.listing.take({"version": 43, "full": False, "servers": [desk.row]})
+        desk.node.registry.codecs[7] = CloudEvents("binary", "/rushhitch", {}, acknowledged=True)
+        desk.node.registry.apply_update({"version": 43, "full": False, "servers": [desk.row]})
         await desk.post()
         (await desk.partner.next()).answer(202)
         while not desk.node.messages[1].handed:
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -79,7 +79,7 @@
     told = json.loads(json.dumps(TOLD)) | {"categories": [BERTH], "tenants": TENANTS}
     settings = settings_of(json.dumps(told).encode())
     node = Node(settings, Dispatcher(settings, 1), Journal(tmp_path, 3e6), lambda *end: None)
-    node.listing.destinations[7] = 0.0
+    node.registry.destinations[7] = 0.0
     node.note = heard.append
     return node
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -338,7 +338,7 @@
     listener.setblocking(False)
     row = {"id": "e1", "addr": "{}:{}".format(*listener.getsockname()), "zone": "a", "kind": "firms"}
     row |= {"cell": 7, "state": "SERVING", "weight": 1.0, "started_ms": 0}
-    node.listing.take({"version": 41, "full": True, "servers": [row]}, cached=True)
+    node.registry.apply_update({"version": 41, "full": True, "servers": [row]}, cached=True)
     for number in range(batch):
         node.offer(Submission(b"m%d" % number, "pay", 7, 9000.0, b"x"), lambda reply: None)
     loop = asyncio.get_running_loop()
--- a/tests/test_fronts_cloudevents.py
+++ b/tests/test_fronts_cloudevents.py
@@ -365,7 +365,7 @@
         front.core.journal = Journal(tmp_path / "state", 3e6)
         old = front.node
         front.node = Node(old.settings, type(old.dispatcher)(old.settings, 1), front.core.journal, old.notify)
-        front.node.listing.take({"version": 42, "full": True, "servers": [front.core.row]})
+        front.node.registry.apply_update({"version": 42, "full": True, "servers": [front.core.row]})
         resume(front.node)
         front.clients = Clients(front.node, 16)
         front.http = front.clients.listen(("127.0.0.1", 0), "cloudevents", front_of(RULES))
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -225,10 +225,12 @@
         for operation in (Operators(bench.node).detach, Operators(bench.node).attach):
             with pytest.raises(Refused, match="no endpoint is called nobody"):
                 operation("nobody")
-        bench.node.listing.take({"version": 42, "full": False, "servers": [bench.row | {"state": "DELETED"}]})
+        bench.node.registry.apply_update(
+            {"version": 42, "full": False, "servers": [bench.row | {"state": "DELETED"}]}
+        )
         Operators(bench.node).detach("e1")
         assert Bans(bench.journal).ids == {"e1"}
-        bench.node.listing.left.clear()  # long ago
+        bench.node.registry.left.clear()  # long ago
         Operators(bench.node).attach("e1")
         assert Bans(bench.journal).ids == set()
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,7 +13,7 @@
 from crowpier.interface import Arrived, Listed, ListKind, Remembered, State
 from rushhitch.acceptor import TAKEN, Reply, Submission
 from rushhitch.control.bans import Bans
-from rushhitch.core import listing
+from rushhitch.core import endpoint_registry
 from rushhitch.core import node as node_module
 from rushhitch.core.messages import BUSY_MS
 from rushhitch.core.node import Node
@@ -41,7 +41,7 @@
         )
         self.node.bans = Bans(self.journal)
         self.row = config["known"]["servers"][0]
-        self.node.listing.take(config["known"], cached=True)
+        self.node.registry.apply_update(config["known"], cached=True)
         resume(self.node)
         return self
 
@@ -53,7 +53,7 @@
         peer = await Peer().start()
         addr = "{}:{}".format(*peer.address)
         row = self.row | {"id": endpoint, "addr": addr, "cell": destination}
-        self.node.listing.take({"version": 42, "full": False, "servers": [row]})
+        self.node.registry.apply_update({"version": 42, "full": False, "servers": [row]})
         return peer
 
 
@@ -185,8 +185,10 @@
     @with_bench(tmp_path)
     async def _(bench):
         rows = [bench.row | {"id": "e2", "kind": "unheard"}, bench.row | {"id": "e3", "addr": "nowhere"}]
-        bench.node.listing.take({"version": 42, "servers": [*rows, {"id": "e1", "state": "DELETED"}]})
-        assert not bench.node.listing.entries and not bench.node.endpoints.entries
+        bench.node.registry.apply_update(
+            {"version": 42, "servers": [*rows, {"id": "e1", "state": "DELETED"}]}
+        )
+        assert not bench.node.registry.entries and not bench.node.endpoints.entries
 
     assert caplog.text.count("an entry is left out") == 2
 
@@ -207,22 +209,22 @@
     @with_bench(tmp_path)
     async def _(bench):
         told = []
-        bench.node.listing.note = told.append
-        bench.node.listing.take({"version": 42, "full": True, "servers": [bench.row | spoilt]})
+        bench.node.registry.note = told.append
+        bench.node.registry.apply_update({"version": 42, "full": True, "servers": [bench.row | spoilt]})
         (entry,) = told[-1].entries
         assert (entry.endpoint, entry.state) == ("e1", state)
         if state is State.GONE:
             assert "e1" not in bench.node.endpoints.entries
         else:
             assert bench.node.endpoints.entries["e1"].state is state
-            assert bench.node.listing.entries["e1"].state is state
+            assert bench.node.registry.entries["e1"].state is state
 
 
 @pytest.mark.parametrize("full", [True, False])
 def test_what_a_whole_list_leaves_out_is_gone(tmp_path, full):
     @with_bench(tmp_path)
     async def _(bench):
-        bench.node.listing.take({"version": 42, "full": full, "servers": [bench.row | {"id": "e2"}]})
+        bench.node.registry.apply_update({"version": 42, "full": full, "servers": [bench.row | {"id": "e2"}]})
         assert ("e1" in bench.node.endpoints.entries) is not full
 
 
@@ -239,7 +241,7 @@
 
 def test_nothing_grows_where_endpoints_ids_and_keys_are_ever_new(tmp_path, monkeypatch):
     # Guards against memory that grows with each endpoint and message that has ever been.
-    monkeypatch.setattr(listing, "LINGER_S", 0.0)
+    monkeypatch.setattr(endpoint_registry, "LINGER_S", 0.0)
 
     @with_bench(tmp_path)
     async def _(bench):
@@ -247,7 +249,7 @@
             full = number % 2 == 0  # the one before is left out, or said to be deleted
             row = bench.row | {"id": f"n{number}", "cell": 1000 + number}
             gone = [] if full else [{"id": f"n{number - 1}", "state": "DELETED"}]
-            bench.node.listing.take({"version": number, "full": full, "servers": [row, *gone]})
+            bench.node.registry.apply_update({"version": number, "full": full, "servers": [row, *gone]})
             bench.journal.chill(f"n{number}", 1.0)
             bench.offer(Submission(b"m%d" % number, "note", 1000 + number, 6000.0, b"", key=number + 1))
             bench.node.turn()
@@ -318,9 +320,11 @@
                     await asyncio.sleep(0.01)
                     bench.node.turn()
             case "move":
-                bench.node.listing.take({"version": 42, "servers": [bench.row | {"addr": "127.0.0.1:9"}]})
+                bench.node.registry.apply_update(
+                    {"version": 42, "servers": [bench.row | {"addr": "127.0.0.1:9"}]}
+                )
             case "removal":
-                bench.node.listing.take({"version": 42, "full": True, "servers": []})
+                bench.node.registry.apply_update({"version": 42, "full": True, "servers": []})
                 first.answer(200)
         while bench.node.gathering or len(set(map(str, believed_and_held(bench)))) > 1:
             await asyncio.sleep(0.001)
--- a/tests/test_partners_cloudevents.py
+++ b/tests/test_partners_cloudevents.py
@@ -14,7 +14,7 @@
 from rushhitch.acceptor import Submission
 from rushhitch.cloudevents.events import Event
 from rushhitch.cloudevents.http import decode
-from rushhitch.core.listing import with_singles
+from rushhitch.core.endpoint_registry import with_unbatched_kinds
 from rushhitch.core.node import Node
 from rushhitch.partners.cloudevents import MODES, MOST_WAIT_MS, CloudEvents, retry_after_ms
 from rushhitch.partners.codec import Attempt, MessageEnd
@@ -149,10 +149,10 @@
         settings = replace(
             bench.node.settings, kinds=(replace(bench.node.settings.kinds[0], batch=10),), slots=3
         )
-        settings = with_singles(settings)
+        settings = with_unbatched_kinds(settings)
         node = Node(settings, Dispatcher(settings, 1), bench.journal, bench.node.notify)
-        node.listing.codecs = {7: CloudEvents("binary", "/rushhitch", {})}
-        node.listing.take({"version": 42, "full": True, "servers": [bench.row]})
+        node.registry.codecs = {7: CloudEvents("binary", "/rushhitch", {})}
+        node.registry.apply_update({"version": 42, "full": True, "servers": [bench.row]})
         for number in range(8):
             node.offer(Submission(b"m%d" % number, "note", 7, 6000.0, b""), lambda reply: None)
         first = [await bench.partner.next() for _ in range(3)]
--- a/tests/test_partners_handshake.py
+++ b/tests/test_partners_handshake.py
@@ -143,8 +143,8 @@
     async def start(self, folder):
         self.bench = await Bench().start(folder)
         self.node, self.partner = self.bench.node, self.bench.partner
-        self.node.listing.codecs = {7: CloudEvents("binary", "/rushhitch", {})}
-        seams = (self.node.endpoints.ask, self.node.limits.state_limits, self.node.listing)
+        self.node.registry.codecs = {7: CloudEvents("binary", "/rushhitch", {})}
+        seams = (self.node.endpoints.ask, self.node.limits.state_limits, self.node.registry)
         self.gate = Handshake(*seams, agreements(), {7}, "/in")
         self.node.set_gate(self.gate)
         self.relist()
@@ -152,7 +152,7 @@
         return self
 
     def relist(self, **changes):
-        self.node.listing.take({"version": 42, "full": False, "servers": [self.bench.row | changes]})
+        self.node.registry.apply_update({"version": 42, "full": False, "servers": [self.bench.row | changes]})
 
     async def asked(self):
         request = await self.partner.next()
@@ -237,8 +237,8 @@
             await asyncio.sleep(0.01)
         made.bench.offer(type(OFFER)(b"m1", "note", 7, 400.0, b"hello"))
         assert (await made.bench.ends.get())[2] == "bounced" and made.partner.requests.empty()
-        made.node.listing.take({"version": 43, "full": True, "servers": []})
-        assert not made.gate.agreements.known and not made.node.listing.rows, "one that is gone is forgotten"
+        made.node.registry.apply_update({"version": 43, "full": True, "servers": []})
+        assert not made.gate.agreements.known and not made.node.registry.rows, "one that is gone is forgotten"
 
 
 def test_a_question_that_breaks_is_asked_again(tmp_path, monkeypatch):
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -120,8 +120,8 @@
     events = speaks != "platform"
     if events:
         types = {"pay": "com.example.pay", "note": "com.example.note"}
-        node.listing.codecs = {7: CloudEvents(speaks, "/rushhitch", types)}
-        node.listing.take({"version": 42, "full": False, "servers": [bench.row]})
+        node.registry.codecs = {7: CloudEvents(speaks, "/rushhitch", types)}
+        node.registry.apply_update({"version": 42, "full": False, "servers": [bench.row]})
     clients = Clients(node, 16)
     addresses = [
         clients.listen(("127.0.0.1", 0), "resp2", Resp2),
@@ -181,8 +181,8 @@
         peer = Partner()
         monkeypatch.setattr("test_node.Peer", lambda: peer)
         bench = await Bench().start(tmp_path)
-        bench.node.listing.codecs = {7: CloudEvents("binary", "/rushhitch", {})}
-        bench.node.listing.take({"version": 42, "full": False, "servers": [bench.row]})
+        bench.node.registry.codecs = {7: CloudEvents("binary", "/rushhitch", {})}
+        bench.node.registry.apply_update({"version": 42, "full": False, "servers": [bench.row]})
         clients = Clients(bench.node, 16)
         address = clients.listen(("127.0.0.1", 0), "resp2", Resp2)
         client = Client(*await asyncio.open_connection(*address))
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -344,7 +344,7 @@
             bench.journal,
             lambda *end: bench.ends.put_nowait(end),
         )
-        bench.node.listing.take({"version": 41, "full": True, "servers": [bench.row]}, cached=True)
+        bench.node.registry.apply_update({"version": 41, "full": True, "servers": [bench.row]}, cached=True)
         resume(bench.node)
         (await bench.partner.next()).answer(410)
         async with asyncio.timeout(SOON_S):
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -508,7 +508,7 @@
         bench.node.withdraw(1)
         bench.node.abandon(1, "its client has gone")
         assert abandoned == [1]
-        bench.node.listing.take({"version": 50, "full": False, "servers": [bench.row]})
+        bench.node.registry.apply_update({"version": 50, "full": False, "servers": [bench.row]})
         bench.node.turn()
         request.answer(200)
         await until(lambda: results)
