--- a/rushhitch/core/endpoint_registry.py
+++ b/rushhitch/core/endpoint_registry.py
@@ -11,7 +11,7 @@
 from crowpier import interface as api
 from crowpier.interface import Settings, State
 from rushhitch.connection import parse_address
-from rushhitch.core.limits import Limits
+from rushhitch.core.limits import RateLimits
 from rushhitch.endpoints import PLATFORM, EndpointEntry, EndpointPool
 from rushhitch.journal import Journal
 from rushhitch.partners.codec import Codec
@@ -43,7 +43,7 @@
         codecs: Mapping[int, Codec],
         endpoints: EndpointPool,
         journal: Journal,
-        limits: Limits,
+        limits: RateLimits,
         note: Callable[[api.Event], None],
     ) -> None:
         self.codecs, self.endpoints, self.journal, self.limits = codecs, endpoints, journal, limits
--- a/rushhitch/core/limits.py
+++ b/rushhitch/core/limits.py
@@ -23,7 +23,7 @@
     return f"lane {lane}"
 
 
-class Limits:
+class RateLimits:
     """`dispatchers` is how many share a stated limit; `held` tells what is held by destination."""
 
     def __init__(
@@ -45,7 +45,7 @@
         assert self.counts is not None, "nothing is counted without planners"
         return self.counts.collect(self.loop.time() * 1000.0, elapsed_ms, self.held())
 
-    def guided(self, allowance: Allowance) -> None:
+    def apply_allowance(self, allowance: Allowance) -> None:
         """A planner's word goes to the decisions as one event; they keep to the lower of it and their own."""
         assert self.counts is not None, "nothing is counted without planners"
         lane = self.counts.lane_of(allowance.lane)
@@ -80,7 +80,7 @@
         told = (allowance.for_ms, allowance.wait_ms, allowance.handicap)
         self.note(api.Allowed(lane, per_s, burst, *told, *slots))
 
-    def state_limits(self, rates: Mapping[int | str, float]) -> None:
+    def set_stated_limits(self, rates: Mapping[int | str, float]) -> None:
         """Limits in calls a second that partners state, by lane: to all dispatchers together, so each keeps
         to its part. The decision module hears of them as of planners' grants, which run out after a second:
         call it more often."""
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -39,7 +39,7 @@
 from rushhitch.core.endpoint_registry import EndpointRegistry
 from rushhitch.core.figures import Figures
 from rushhitch.core.lifecycle import Effect, Lifecycle, Phase, Stage
-from rushhitch.core.limits import Limits
+from rushhitch.core.limits import RateLimits
 from rushhitch.core.messages import BUSY_MS, InheritedAttempt, Message, PendingNotice
 from rushhitch.core.recent_ends import RecentEnds
 from rushhitch.core.request_log import FINAL_ANSWER, log_abandoned, log_refusal, log_step, log_untried_end
@@ -100,7 +100,7 @@
         self.history = history or History()  # of settings: what messages were taken under
         self.figures = Figures(self.classes)
         self.bans = bans  # endpoints that operators took out
-        self.limits = Limits(settings.dispatchers, self.note, dispatcher.held)
+        self.limits = RateLimits(settings.dispatchers, self.note, dispatcher.held)
         self.registry = EndpointRegistry(
             settings, codecs or {}, self.endpoints, journal, self.limits, self.note
         )
--- a/rushhitch/partners/handshake.py
+++ b/rushhitch/partners/handshake.py
@@ -27,13 +27,13 @@
     def __init__(
         self,
         ask: Callable[[str, str, str, Headers], Awaitable[h11.Response]],
-        state_limits: Callable[[Mapping[int | str, float]], None],
+        set_stated_limits: Callable[[Mapping[int | str, float]], None],
         covered: Covered,
         agreements: Agreements,
         destinations: Collection[int],
         path: str,
     ) -> None:
-        self.ask_endpoint, self.state_limits, self.covered = ask, state_limits, covered
+        self.ask_endpoint, self.set_stated_limits, self.covered = ask, set_stated_limits, covered
         self.agreements, self.path = agreements, path
         self.destinations = frozenset(destinations)
         self.out: set[asyncio.Task[None]] = set()
@@ -112,14 +112,14 @@
             log.info("%s agrees to be sent events: %s", endpoint, rate)
         else:
             log.warning("%s does not agree to be sent events: %s", endpoint, known.why)
-        self.state_limits(self.rates())  # before the first call can go
+        self.set_stated_limits(self.rates())  # before the first call can go
         self.covered.reapply_gate(endpoint)
 
     # Stated limits
 
     async def state(self) -> None:
         while True:
-            self.state_limits(self.rates())
+            self.set_stated_limits(self.rates())
             await asyncio.sleep(STATE_S)
 
     def rates(self) -> dict[int | str, float]:
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -367,7 +367,9 @@
 
     node.limits.counts = LaneCounts([cls.worth for cls in configuration.settings.classes])
     own, name = configuration.own, configuration.name
-    return PlannerClient(name, dict(own.planners), own.secret, node.limits.collect, node.limits.guided)
+    return PlannerClient(
+        name, dict(own.planners), own.secret, node.limits.collect, node.limits.apply_allowance
+    )
 
 
 def make_member(configuration: Configuration, told: Mapping[str, Any] | None) -> Member | None:
@@ -421,7 +423,7 @@
 
     asking = own.events.handshake
     agreements = Agreements(asking.origin, asking.rate, asking.renew_s * 1000.0)
-    seams = (node.endpoints.ask, node.limits.state_limits, node.registry)
+    seams = (node.endpoints.ask, node.limits.set_stated_limits, node.registry)
     handshake = Handshake(*seams, agreements, asking.destinations, own.events.path)
     node.set_gate(handshake)
     return handshake
--- a/tests/test_partners_handshake.py
+++ b/tests/test_partners_handshake.py
@@ -144,7 +144,7 @@
         self.bench = await Bench().start(folder)
         self.node, self.partner = self.bench.node, self.bench.partner
         self.node.registry.codecs = {7: CloudEvents("binary", "/rushhitch", {})}
-        seams = (self.node.endpoints.ask, self.node.limits.state_limits, self.node.registry)
+        seams = (self.node.endpoints.ask, self.node.limits.set_stated_limits, self.node.registry)
         self.gate = Handshake(*seams, agreements(), {7}, "/in")
         self.node.set_gate(self.gate)
         self.relist()
@@ -280,11 +280,11 @@
         node.limits.counts = LaneCounts([1.0])
         node.limits.counts.place("e1", 7, False)
         node.limits.note = notes.append
-        node.limits.state_limits({7: 4.0})
+        node.limits.set_stated_limits({7: 4.0})
         dealt = {"slots_ms": 700.0, "slot": 3, "slots": (10.0,)}
-        node.limits.guided(Allowance("d7", 9.0, 3.0, 1000.0, 50.0, **dealt))
-        node.limits.guided(Allowance("d7", 2.0, 1.0, 1000.0, **dealt))
-        node.limits.state_limits({7: 4.0})
+        node.limits.apply_allowance(Allowance("d7", 9.0, 3.0, 1000.0, 50.0, **dealt))
+        node.limits.apply_allowance(Allowance("d7", 2.0, 1.0, 1000.0, **dealt))
+        node.limits.set_stated_limits({7: 4.0})
         own, high, low = notes
         assert (own.lane, own.per_s, own.slots) == (7, 4.0, ())
         assert (high.per_s, high.burst, high.wait_ms, high.slots) == (4.0, 1.0, 50.0, ())
@@ -292,10 +292,10 @@
         assert all(isinstance(note, Allowed) for note in notes)
         # A rate that is stated while a grant holds: lower it binds at once, higher it lifts nothing.
         notes.clear()
-        node.limits.state_limits({7: 1.0})
+        node.limits.set_stated_limits({7: 1.0})
         assert [note.per_s for note in notes] == [1.0]
         node.limits.stated.clear()
-        node.limits.state_limits({7: 3.0})
+        node.limits.set_stated_limits({7: 3.0})
         assert len(notes) == 1
 
 
@@ -306,7 +306,7 @@
         made.gate.tasks[1].cancel()
         made.node.limits.note = notes.append
         made.node.limits.dispatchers = 4
-        made.node.limits.state_limits({7: 4.0})
+        made.node.limits.set_stated_limits({7: 4.0})
         assert notes[0].per_s == 1.0
 
 
@@ -319,7 +319,7 @@
         limits.counts = LaneCounts([1.0])
         limits.counts.place("e1", 7, False)
         limits.shared = lambda name, per_s: asked.append((name, per_s)) or 3.0
-        limits.state_limits({7: 4.0})
+        limits.set_stated_limits({7: 4.0})
         assert notes[0].per_s == 3.0 and asked == [("lane 7", 4.0)]
         for _ in range(5):
             limits.counts.arrived(7)
