--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -105,7 +105,7 @@
             settings, codecs or {}, self.endpoints, journal, self.limits, self.note
         )
         self.inherited: dict[tuple[int, int], InheritedAttempt] = {}  # an earlier process ends them
-        self.call_back: Callable[[int, int], None] = lambda message, attempt: None  # one of them
+        self.cancel_inherited: Callable[[int, int], None] = lambda message, attempt: None  # one of them
         self.abandon_elsewhere: Callable[[int, str], None] = lambda message, why: None  # once relinquished
         self.ahead_s: float | None = None  # of the loop's clock is the steady one, `journal.steady`
         self.aging: dict[int, float] = {}  # messages with attempts that the module has yet to hear of: since
@@ -689,7 +689,7 @@
                     cancelled = replace(result, outcome=Outcome.CANCELLED, over=False, later=False)
                     self.attempt_ended(cancelled)
                 elif (number, attempt) in self.inherited:
-                    self.call_back(number, attempt)
+                    self.cancel_inherited(number, attempt)
                 else:
                     self.endpoints.cancel(number, attempt)
             case api.Remind(in_ms, token):
--- a/rushhitch/core/state_transfer.py
+++ b/rushhitch/core/state_transfer.py
@@ -40,7 +40,7 @@
         self.node.turn()  # who handed something in meanwhile is answered, too
         await self.node.committer.quiet()
 
-    def yield_all(
+    def relinquish(
         self, report: Callable[[Result], None], abandon: Callable[[int, str], None]
     ) -> tuple[int, dict[str, Any]]:
         """Own nothing from now on but the calls that are out, whose results go to `report`; messages whose
@@ -70,12 +70,12 @@
                 message.watchdog.cancel()
         return node.journal.hand_over(), told
 
-    def inherit_waits(self, waits: Sequence[tuple[int | str, float]]) -> None:
+    def adopt_waits(self, waits: Sequence[tuple[int | str, float]]) -> None:
         node = self.node
         for lane, until in waits:
             node.endpoints.waits[lane] = max(node.endpoints.waits.get(lane, 0.0), until)
 
-    def loan_ended(
+    def inherited_attempt_ended(
         self,
         message: int,
         attempt: int,
@@ -92,7 +92,7 @@
         if loan is None:
             return
         if wait_ms and (place := node.endpoints.entries.get(loan.endpoint)) is not None:
-            self.inherit_waits([(place.lane, node.loop.time() + wait_ms / 1000.0)])
+            self.adopt_waits([(place.lane, node.loop.time() + wait_ms / 1000.0)])
         if held is None:
             return
         kept = held.kept
@@ -100,8 +100,8 @@
         result = Result(Attempt(message, attempt, *words), loan.endpoint, outcome, took_ms, wait_ms, over)
         node.attempt_ended(replace(result, first_due=loan.first_due, later=later, final=final))
 
-    def lose_loans(self) -> None:
+    def fail_inherited_attempts(self) -> None:
         """The earlier process has died: what it had out may have run."""
         node = self.node
         for message, attempt in list(node.inherited):
-            self.loan_ended(message, attempt, Outcome.RESET)
+            self.inherited_attempt_ended(message, attempt, Outcome.RESET)
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -178,7 +178,7 @@
         """Go on with what is there, and take what comes."""
         configuration, node, told = self.configuration, self.node, self.inheritance.told
         if told is not None:
-            self.transfer.inherit_waits(told["waits"])
+            self.transfer.adopt_waits(told["waits"])
             resume(node, told["learned"], [InheritedAttempt(*loan) for loan in told["loans"]])
         else:
             resume(node)
@@ -224,7 +224,7 @@
         node, transfer = self.node, self.transfer
 
         def ended(told: dict[str, Any]) -> None:
-            transfer.loan_ended(
+            transfer.inherited_attempt_ended(
                 int(told["message"]),
                 int(told["attempt"]),
                 Outcome(told["outcome"]),
@@ -235,9 +235,13 @@
                 told.get("final", False),
             )
 
-        takeover.adopt, takeover.ended, takeover.dead = self.clients.adopt, ended, transfer.lose_loans
+        takeover.adopt, takeover.ended, takeover.dead = (
+            self.clients.adopt,
+            ended,
+            transfer.fail_inherited_attempts,
+        )
         takeover.abandon = node.abandon
-        takeover.relay.operate, node.call_back = self.handover.relay.operate, takeover.call_back
+        takeover.relay.operate, node.cancel_inherited = self.handover.relay.operate, takeover.cancel_inherited
         takeover.go_on()
 
     def tell_status(self, before: dict[str, int] | None = None) -> None:
--- a/rushhitch/succession/handover.py
+++ b/rushhitch/succession/handover.py
@@ -157,7 +157,7 @@
         if channel is None:  # it died meanwhile, and nothing was given away yet
             self.incumbent.cannot_yield()
             return False
-        lock, told = self.transfer.yield_all(self.report, self.abandon)
+        lock, told = self.transfer.relinquish(self.report, self.abandon)
         channel.send({"t": "yield", "version": self.version()} | told, [lock])
         self.yielded()
         held = len(told["loans"])
--- a/rushhitch/succession/takeover.py
+++ b/rushhitch/succession/takeover.py
@@ -195,7 +195,7 @@
         if self.successor.lost() is Do.LOSE_CALLS:
             self.dead()
 
-    def call_back(self, message: int, attempt: int) -> None:
+    def cancel_inherited(self, message: int, attempt: int) -> None:
         if self.channel is not None:
             self.channel.send({"t": "cancel", "message": message, "attempt": attempt})
 
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -371,7 +371,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.inherited[9, 0] = InheritedAttempt(9, 0, "e1", 1, 0.0, 0.0)
-        StateTransfer(bench.node).loan_ended(9, 0, Outcome.FULL, wait_ms=5_000.0)
+        StateTransfer(bench.node).inherited_attempt_ended(9, 0, Outcome.FULL, wait_ms=5_000.0)
         lane = bench.node.endpoints.entries["e1"].lane
         assert bench.node.endpoints.waits[lane] > bench.node.loop.time() + 4.0
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -499,7 +499,7 @@
         request = await bench.partner.next()
         assert await StateTransfer(bench.node).freeze()
         results, abandoned = [], []
-        lock, told = StateTransfer(bench.node).yield_all(
+        lock, told = StateTransfer(bench.node).relinquish(
             results.append, lambda message, why: abandoned.append(message)
         )
         held = {path: path.read_bytes() for path in (tmp_path / "state").iterdir() if path.is_file()}
--- a/tests/test_unheard_elsewhere.py
+++ b/tests/test_unheard_elsewhere.py
@@ -222,7 +222,7 @@
         old = OldProcess(bench, tmp_path)
         await old.promised()
         assert await old.transfer.freeze()
-        lock, _ = old.transfer.yield_all(lambda result: None, lambda message, why: None)
+        lock, _ = old.transfer.relinquish(lambda result: None, lambda message, why: None)
         old.new.send({"t": "ask", "n": 7, "line": "DETACH e1"})  # sent before the new one heard `yield`
         told, _ = await old.next()
         assert (told["t"], told.get("line")) == ("ask", "DETACH e1"), "it was not passed back to the owner"
