--- a/rushhitch/core/acknowledgements.py
+++ b/rushhitch/core/acknowledgements.py
@@ -49,7 +49,7 @@
     return Effect.AWAIT if out == 1 else Effect.LATER
 
 
-class Past:
+class EndHistory:
     """How messages ended that an acknowledgement may still come for. Times are Unix time in seconds."""
 
     def __init__(self, most: int = MOST) -> None:
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -33,15 +33,15 @@
 )
 from rushhitch.config.history import History
 from rushhitch.control.bans import Bans
-from rushhitch.core.acknowledgements import ACKNOWLEDGED, UNKNOWN, Past, effect
+from rushhitch.core.acknowledgements import ACKNOWLEDGED, UNKNOWN, EndHistory, effect
 from rushhitch.core.acknowledgements import Effect as Acknowledged
-from rushhitch.core.ended import KEEP_S, MOST, End, Ended
 from rushhitch.core.endpoint_registry import EndpointRegistry
 from rushhitch.core.figures import Figures
 from rushhitch.core.lifecycle import Effect, Lifecycle, Phase, Stage
 from rushhitch.core.limits import RateLimits
 from rushhitch.core.messages import BUSY_MS, InheritedAttempt, Message, PendingNotice
 from rushhitch.core.recent_ends import RecentEnds
+from rushhitch.core.remembered_ends import KEEP_S, MOST, End, RememberedEnds
 from rushhitch.core.request_log import FINAL_ANSWER, log_abandoned, log_refusal, log_step, log_untried_end
 from rushhitch.core.start_report import StartReport
 from rushhitch.endpoints import PLATFORM, EndpointPool, Result
@@ -114,9 +114,11 @@
         self.numbers = journal.highest
         self.committer = Committer(journal)
         self.notices: list[PendingNotice] = []  # to be told once the journal tells of them
-        self.ended = Ended(min(MOST, int(ENDED_SHARE * journal.space.live_most / RECORD_ROOM)))
+        self.remembered_ends = RememberedEnds(
+            min(MOST, int(ENDED_SHARE * journal.space.live_most / RECORD_ROOM))
+        )
         self.sinks: Sinks | None = None  # where clients may have ends told by messages of our own
-        self.past = Past()
+        self.end_history = EndHistory()
         self.start_report = StartReport()
         self.recent_ends = RecentEnds()
         self.completions: list[tuple[ReplyCallback, Reply]] = []  # likewise, for those who wait
@@ -212,16 +214,16 @@
         if (recent := self.recent_ends.get(offer.id, self.loop.time())) is not None:
             answer(recent)
             return 0
-        if offer.remember and (end := self.ended.get(offer.id, self.steady())) is not None:
+        if offer.remember and (end := self.remembered_ends.get(offer.id, self.steady())) is not None:
             answer(end)
             return 0
         size = len(offer.body) + len(offer.attributes) + len(offer.tenant) + len(offer.idempotency)
         if self.sinks is not None and self.sinks.named(offer.attributes):
             size += RECORD_ROOM + self.sinks.room  # of the message that tells its end
         room = self.fresh_bytes + size
-        for gone in self.ended.forget(self.steady()):
+        for gone in self.remembered_ends.forget(self.steady()):
             self.journal.end(gone)
-        full = offer.remember and self.ended.full(len(self.by_id))
+        full = offer.remember and self.remembered_ends.full(len(self.by_id))
         if full or len(self.by_id) >= self.settings.max_held or not self.journal.has_room(room):
             self.figures.ended(offer.cls, "refused")
             answer(Reply("refused", BUSY_MS))
@@ -345,15 +347,15 @@
     def end_abandoned(self, message: Message) -> None:
         """No call of an abandoned message is out, and none delivered it."""
         if message.kept.first_run is None:
-            self.answer_end(message, REFUSED_NOTICE, BUSY_MS)
+            self.finish(message, REFUSED_NOTICE, BUSY_MS)
         else:
-            self.answer_end(message, FAILED_NOTICE, 0.0)
+            self.finish(message, FAILED_NOTICE, 0.0)
 
     def overdue(self, message: Message) -> None:
         """Guards against a message that fell through: its end is given even if the module gives none."""
         if not message.over:
             log.error("message %d is overdue and is failed", message.number)
-            self.answer_end(message, "dead", 0.0)
+            self.finish(message, "dead", 0.0)
             self.commit()
             self.note(api.Withdrawn(message.number))
 
@@ -414,7 +416,7 @@
     def unacknowledged(self, message: Message) -> None:
         if not message.over:
             log.info("message %d was not acknowledged in time", message.number)
-            self.answer_end(message, "dead", 0.0)
+            self.finish(message, "dead", 0.0)
             if message.pending is not None:
                 self.attempt_ended(replace(message.pending, later=False))
             self.commit()
@@ -423,7 +425,7 @@
         """See `Acceptor`. It is answered once the journal tells of what it did."""
         message = self.by_id.get(told.message)
         if message is None or message.kept.destination != told.destination:
-            answer(self.past.answer(told, self.steady()))
+            answer(self.end_history.answer(told, self.steady()))
             return
         kept, heard = message.kept, message.verdict is not None
         found = effect(told, kept.marks, message.attempts, len(message.out), message.handed, heard)
@@ -620,7 +622,7 @@
 
     def reject(self, message: Message) -> None:
         """Refuse what is not accepted; its client may come again."""
-        self.answer_end(message, "bounced", BUSY_MS)
+        self.finish(message, "bounced", BUSY_MS)
         self.note(api.Withdrawn(message.number))
 
     def may_send(self, attempt: Attempt) -> bool:
@@ -678,9 +680,9 @@
                     )
                 )
             case api.Fail(number):
-                self.answer_end(self.messages[number], "dead", 0.0)
+                self.finish(self.messages[number], "dead", 0.0)
             case api.Refuse(number, stay_away_ms):
-                self.answer_end(self.messages[number], "bounced", stay_away_ms)
+                self.finish(self.messages[number], "bounced", stay_away_ms)
             case api.Cancel(number, attempt):
                 held = self.messages.get(number)
                 if held is not None and (result := held.pending) and result.attempt.number == attempt:
@@ -715,7 +717,7 @@
     def probe_ended(self, endpoint: str, outcome: Outcome, took_ms: float) -> None:
         self.note(api.ProbeEnded(endpoint, outcome, took_ms))
 
-    def answer_end(self, message: Message, result: str, wait_ms: float) -> None:
+    def finish(self, message: Message, result: str, wait_ms: float) -> None:
         """The final answer: to the client if it still waits for one, else as a notice."""
         if message.over:
             return
@@ -732,7 +734,7 @@
         if message.resumed and not message.attempts:
             log_untried_end(message, result, (message.due - self.loop.time()) * 1000.0)
         end = FAILED if result == "dead" else Reply("refused", wait_ms)
-        self.tell_sink(message, end)
+        self.notify_sink(message, end)
         if message.number in self.journal.live:
             self.journal.owe(message.number, result, wait_ms)
         self.notices.append(PendingNotice(message.number, message.id, result, wait_ms, message.due))
@@ -746,7 +748,7 @@
         told = end in (DELIVERED, FAILED) or message.stage is Stage.ABANDONED
         if told and effect is not Effect.REJECT and not message.kept.remember:
             self.recent_ends.add(message.id, TAKEN if end is DELIVERED else end, self.loop.time())
-        self.tell_sink(message, end)
+        self.notify_sink(message, end)
         self.lifecycle.advance(message, effect)
         noticed = effect is Effect.EXPIRE
         if end is not WITHDRAWN:
@@ -756,7 +758,7 @@
         if message.watchdog is not None:
             message.watchdog.cancel()
         if message.attempts and self.acknowledges(message.kept.destination):
-            self.past.add(message.kept.id, end.what, message.kept.deadline + self.keep_s)
+            self.end_history.add(message.kept.id, end.what, message.kept.deadline + self.keep_s)
         if message.number in self.journal.live:
             if message.kept.remember and end.what != WITHDRAWN.what:
                 if not noticed:
@@ -769,7 +771,7 @@
         if not self.by_id:
             self.idle.set()
 
-    def tell_sink(self, message: Message, end: Reply) -> None:
+    def notify_sink(self, message: Message, end: Reply) -> None:
         """Take on the message that tells the end of this one, where its client wants that. The journal has it
         before the end, so that a crash between the two cannot leave the end untold."""
         attributes, message.sink = message.sink, b""
@@ -789,8 +791,8 @@
 
     def remember(self, kept: Kept, end: Reply) -> None:
         """The journal keeps the message, without its body, until its identity may be forgotten."""
-        self.ended.add(kept.id, End(kept.number, end, kept.deadline + self.keep_s))
-        for number in self.ended.forget(self.steady()):
+        self.remembered_ends.add(kept.id, End(kept.number, end, kept.deadline + self.keep_s))
+        for number in self.remembered_ends.forget(self.steady()):
             self.journal.end(number)
 
     def forget(self, message: Message) -> None:
@@ -798,7 +800,7 @@
             self.messages.pop(message.number, None)
 
     def notice_heard(self, number: int) -> None:
-        if number in self.ended.numbers:
+        if number in self.remembered_ends.numbers:
             self.journal.owe(number, FAILED.what, 0.0)  # the platform knows now
             self.commit()
         elif number in self.journal.live:
--- a/rushhitch/core/ended.py
+++ b/rushhitch/core/remembered_ends.py
@@ -20,7 +20,7 @@
     until: float
 
 
-class Ended:
+class RememberedEnds:
     """The ends, by id, in the order in which they are forgotten. The journal has them too, by number: what
     `forget` gives is for it to end."""
 
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -12,7 +12,7 @@
 from rushhitch.acceptor import Acknowledgement, Submission, Verdict
 from rushhitch.cloudevents.events import BadEvent, Event
 from rushhitch.cloudevents.mapping import Acks, Rules, acknowledgement, identity
-from rushhitch.core.acknowledgements import ACKNOWLEDGED, DIFFERS, LATE, UNKNOWN, Effect, Past, effect
+from rushhitch.core.acknowledgements import ACKNOWLEDGED, DIFFERS, LATE, UNKNOWN, Effect, EndHistory, effect
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.fronts.cloudevents import front
@@ -76,7 +76,7 @@
 
 
 def test_for_what_is_over_it_hears_whether_it_says_the_same_until_that_is_forgotten():
-    past = Past(2)
+    past = EndHistory(2)
     past.add(b"m1", "delivered", 100.0)
     assert past.answer(told(Verdict.DELIVERED), 99.0) is ACKNOWLEDGED
     assert past.answer(told(Verdict.RAN), 99.0) is DIFFERS
--- a/tests/test_cloudevents_sinks.py
+++ b/tests/test_cloudevents_sinks.py
@@ -121,7 +121,7 @@
         soon = "2099-01-01T00:00:00Z"
         assert (await desk.post(expirytime=soon))[0] == 202
         message = desk.node.messages[1]
-        desk.node.answer_end(message, "bounced", 0.0)
+        desk.node.finish(message, "bounced", 0.0)
         desk.node.commit()
         assert (await desk.told())["data"]["state"] == "refused"
         object.__setattr__(desk.node.settings, "max_held", 0)
@@ -161,7 +161,7 @@
         await desk.post()
         await desk.partner.next()
         message = desk.node.messages[1]
-        desk.node.tell_sink(message, FAILED)
+        desk.node.notify_sink(message, FAILED)
         desk.journal.flush()
         desk.journal.pending.clear()
         await desk.restart(tmp_path)
--- a/tests/test_fronts_cloudevents.py
+++ b/tests/test_fronts_cloudevents.py
@@ -11,8 +11,8 @@
 from rushhitch.acceptor import DELIVERED, FAILED
 from rushhitch.cloudevents.http import BATCH, MOST_BATCH, STRUCTURED
 from rushhitch.cloudevents.mapping import Rules
-from rushhitch.core.ended import End, Ended
 from rushhitch.core.node import Node
+from rushhitch.core.remembered_ends import End, RememberedEnds
 from rushhitch.core.resumption import resume
 from rushhitch.fronts import admission, cloudevents
 from rushhitch.fronts.cloudevents import front, wait_of
@@ -592,16 +592,16 @@
         client.binary(expirytime="2999-01-01T00:00:00Z", type="com.example.pay")
         assert (await client.answer())[0] == 202
         message = front.node.by_id[next(iter(front.node.by_id))]
-        front.node.answer_end(message, "bounced", 300.0)
+        front.node.finish(message, "bounced", 300.0)
         front.node.commit()
-        assert front.node.ended.ends == {}
+        assert front.node.remembered_ends.ends == {}
 
 
 def test_where_no_further_identity_can_be_remembered_events_are_refused_and_none_is_forgotten(tmp_path):
     # Forgetting an old one to make room would let a payment that is posted again run twice.
     @with_front(tmp_path)
     async def _(front):
-        front.node.ended.most = 2
+        front.node.remembered_ends.most = 2
         client = await front.connect()
         for number in range(2):
             client.binary(id=f"{number}")
@@ -618,7 +618,7 @@
 
 
 def test_ends_are_remembered_for_a_while_and_within_a_bound():
-    ended = Ended(most=2)
+    ended = RememberedEnds(most=2)
     ended.add(b"a", End(1, DELIVERED, 10.0))
     assert ended.get(b"a", 9.0) == DELIVERED and ended.get(b"a", 10.0) is None
     ended.add(b"b", End(2, FAILED, 11.0))
