--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -214,14 +214,14 @@
         if (recent := self.recent_ends.get(offer.id, self.loop.time())) is not None:
             answer(recent)
             return 0
-        if offer.remember and (end := self.remembered_ends.get(offer.id, self.steady())) is not None:
+        if offer.remember and (end := self.remembered_ends.get(offer.id, self.steady_time())) is not None:
             answer(end)
             return 0
         size = len(offer.body) + len(offer.attributes) + len(offer.tenant) + len(offer.idempotency)
         if self.sinks is not None and self.sinks.named(offer.attributes):
             size += RECORD_ROOM + self.sinks.room  # of the message that tells its end
         room = self.fresh_bytes + size
-        for gone in self.remembered_ends.forget(self.steady()):
+        for gone in self.remembered_ends.forget(self.steady_time()):
             self.journal.end(gone)
         full = offer.remember and self.remembered_ends.full(len(self.by_id))
         if full or len(self.by_id) >= self.settings.max_held or not self.journal.has_room(room):
@@ -234,11 +234,11 @@
             offer.id,
             offer.cls,
             offer.destination,
-            self.steady() + offer.left_ms / 1000.0,
+            self.steady_time() + offer.left_ms / 1000.0,
             offer.body,
             offer.key,
             offer.again,
-            taken_at=self.steady(),
+            taken_at=self.steady_time(),
             remember=offer.remember,
             attributes=offer.attributes,
             tenant=offer.tenant,
@@ -270,7 +270,7 @@
         """The tenant's position; past the last one for a message that names none, which has no allowance."""
         return self.tenants.get(name, len(self.settings.tenants))
 
-    def steady(self) -> float:
+    def steady_time(self) -> float:
         """Unix time in seconds by a clock that is not stepped while this process runs, nor over a restart
         where `ahead_s` was kept: all that outlasts the process is told by it."""
         if self.ahead_s is None:
@@ -279,7 +279,7 @@
 
     def due_of(self, kept: Kept) -> float:
         """When the message's time is up, by the clock of the event loop."""
-        return self.loop.time() + max(kept.deadline - self.steady(), 0.0)
+        return self.loop.time() + max(kept.deadline - self.steady_time(), 0.0)
 
     def wall(self, due: float) -> float:
         """A time of the event loop's clock as others read it now: Unix time in seconds."""
@@ -362,11 +362,11 @@
     def arrive(self, message: Message, loans: Sequence[InheritedAttempt] = (), untried: bool = False) -> None:
         """Give the module a message that has had attempts; those that are out are in an earlier process. An
         age that no clock tells counts as one past every window."""
-        kept, now = message.kept, self.steady()
+        kept, now = message.kept, self.steady_time()
         terms, out = self.history.terms(kept.number, kept.cls), {loan.attempt for loan in loans}
         runs = [where for attempt, where in kept.out.items() if attempt not in out]
         ran = min([*runs, *([kept.ran] if kept.ran else [])], key=itemgetter(1), default=None)
-        age = self.steady() - ran[1] if ran else 0.0
+        age = self.steady_time() - ran[1] if ran else 0.0
         self.aging[message.number] = self.loop.time()
         self.note(
             api.Arrived(
@@ -425,7 +425,7 @@
         """See `Acceptor`. It is answered once the journal tells of what it did."""
         message = self.by_id.get(told.message)
         if message is None or message.kept.destination != told.destination:
-            answer(self.end_history.answer(told, self.steady()))
+            answer(self.end_history.answer(told, self.steady_time()))
             return
         kept, heard = message.kept, message.verdict is not None
         found = effect(told, kept.marks, message.attempts, len(message.out), message.handed, heard)
@@ -642,7 +642,7 @@
             return [attempt for attempt in attempts if self.may_send(attempt)]
 
         for attempt in open_attempts():
-            self.journal.attempt(attempt.message, attempt.number, endpoint, self.steady())
+            self.journal.attempt(attempt.message, attempt.number, endpoint, self.steady_time())
         self.commit(lambda: go(open_attempts()), lambda: go([]))
 
     def reject_uncommitted(self, fresh: list[Message], sends: dict[str, list[Attempt]]) -> None:
@@ -782,7 +782,7 @@
         if told.id in self.by_id:  # told by an earlier process that did not come to the end's record
             return
         self.numbers += 1
-        now = self.steady()
+        now = self.steady_time()
         most = self.settings.classes[self.classes[told.cls]].deadline_ms / 1000.0
         words = (told.id, told.cls, told.destination, now + most, told.body)
         kept = Kept(self.numbers, *words, taken_at=now, attributes=told.attributes)
@@ -792,7 +792,7 @@
     def remember(self, kept: Kept, end: Reply) -> None:
         """The journal keeps the message, without its body, until its identity may be forgotten."""
         self.remembered_ends.add(kept.id, End(kept.number, end, kept.deadline + self.keep_s))
-        for number in self.remembered_ends.forget(self.steady()):
+        for number in self.remembered_ends.forget(self.steady_time()):
             self.journal.end(number)
 
     def forget(self, message: Message) -> None:
--- a/rushhitch/core/operators.py
+++ b/rushhitch/core/operator_commands.py
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 
-class Operators:
+class OperatorCommands:
     """Their words, carried out at one node."""
 
     def __init__(self, node: Node) -> None:
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -35,7 +35,7 @@
 from rushhitch.core.lifecycle import Phase
 from rushhitch.core.messages import InheritedAttempt
 from rushhitch.core.node import Node
-from rushhitch.core.operators import Operators
+from rushhitch.core.operator_commands import OperatorCommands
 from rushhitch.core.resumption import resume
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.discovery import Notices, Platform, Watch
@@ -158,7 +158,7 @@
             dispatchers=configuration.settings.dispatchers,
         )
         self.platform = Platform(self.watch, self.notices)
-        self.transfer, operators = StateTransfer(node), Operators(node)
+        self.transfer, operators = StateTransfer(node), OperatorCommands(node)
         self.handover = Handover(
             configuration.state,
             self.transfer,
@@ -570,7 +570,7 @@
     that has handed over. Bans are the owner's to answer; the other passes them on."""
 
     def __init__(self) -> None:
-        self.operators: Operators | None = None
+        self.operators: OperatorCommands | None = None
         self.ready = False
         self.known = (0, 0)  # endpoints listed and avoided, as the owner told
         self.relay: Callable[[bytes], asyncio.Future[bytes]] | None = None
@@ -579,7 +579,7 @@
         """This process takes over as soon as the one before it is told to end."""
         self.ready, self.known = True, (listed, down)
 
-    def own(self, operators: Operators) -> Callable[[bytes], bytes]:
+    def own(self, operators: OperatorCommands) -> Callable[[bytes], bytes]:
         """From now on this process owns all; gives what carries out a word that another was told."""
         self.operators, self.relay = operators, None
         return lambda line: answer(line, self)
--- a/rushhitch/succession/handover.py
+++ b/rushhitch/succession/handover.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from rushhitch.core.operators import Operators
+from rushhitch.core.operator_commands import OperatorCommands
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.endpoints import Result
 from rushhitch.fronts.listener import Clients
@@ -32,7 +32,7 @@
         self,
         folder: Path,
         transfer: StateTransfer,
-        operators: Operators,
+        operators: OperatorCommands,
         clients: Clients,
         version: Callable[[], int],
         operate: Callable[[bytes], bytes],
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -7,7 +7,7 @@
 
 from rushhitch.acceptor import Submission
 from rushhitch.core.lifecycle import Phase
-from rushhitch.core.operators import Operators
+from rushhitch.core.operator_commands import OperatorCommands
 
 
 def counted(told):
@@ -22,7 +22,7 @@
 def test_taken_is_success_and_busy_and_failure_and_inflight_at_each_point(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
-        info = Operators(bench.node).info
+        info = OperatorCommands(bench.node).info
         assert counted(info()) == 0 and info()["inflight"] == 0 and info()["hosts_listed"] == 1
         bench.offer(Submission(b"m1", "note", 7, 6000.0, b""))
         assert info()["inflight"] == 1
@@ -49,7 +49,7 @@
         monkeypatch.setattr(bench.journal, "has_room", lambda body: False)
         bench.offer(Submission(b"m1", "note", 7, 6000.0, b""))
         assert (await bench.answers.get()).what == "refused"
-        told = Operators(bench.node).info()
+        told = OperatorCommands(bench.node).info()
         assert told["busy"] == {"note": 1, "pay": 0} and counted(told) == 1 and told["inflight"] == 0
 
 
@@ -58,7 +58,7 @@
     async def _(bench):
         number = bench.node.offer(Submission(b"m1", "note", 7, 6000.0, b""), bench.answers.put_nowait)
         bench.node.withdraw(number)
-        told = Operators(bench.node).info()
+        told = OperatorCommands(bench.node).info()
         assert counted(told) == 0 and told["inflight"] == 0
 
 
@@ -68,15 +68,15 @@
         bench.offer(Submission(b"m1", "note", 7, 6000.0, b""))
         assert (await bench.answers.get()).what == "taken"
         await bench.partner.next()
-        before = Operators(bench.node).info()
+        before = OperatorCommands(bench.node).info()
         bench.journal.close()
         bench.node.lifecycle.enter(Phase.RELINQUISHED)  # it is dead: nothing more comes of it
         again = await Bench().start(tmp_path)
-        assert Operators(again.node).info()["inflight"] == before["inflight"] == 1
-        told = Operators(again.node).info()
+        assert OperatorCommands(again.node).info()["inflight"] == before["inflight"] == 1
+        told = OperatorCommands(again.node).info()
         assert counted(told) == 0 and told["backend_calls"] == 0
         (await again.partner.next()).answer(200)
-        await until(lambda: Operators(again.node).info()["success"]["note"] == 1)
+        await until(lambda: OperatorCommands(again.node).info()["success"]["note"] == 1)
         again.journal.close()
 
     run(work())
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -14,7 +14,7 @@
 from rushhitch.acceptor import TAKEN, Submission
 from rushhitch.control.bans import NAME, Bans
 from rushhitch.control.words import Refused
-from rushhitch.core.operators import Operators
+from rushhitch.core.operator_commands import OperatorCommands
 from rushhitch.journal import Journal, Sync
 from rushhitch.journal.files import Files
 from rushhitch.journal.side import DRAFT
@@ -187,7 +187,7 @@
 
         async def slow(endpoint):
             connection = await connect(endpoint)
-            Operators(bench.node).detach(endpoint)  # while the connection is coming up
+            OperatorCommands(bench.node).detach(endpoint)  # while the connection is coming up
             started.append(endpoint)
             return connection
 
@@ -199,7 +199,7 @@
         await asyncio.sleep(0.2)
         assert bench.partner.requests.empty() and bench.node.endpoints.written == 0
         bench.node.endpoints.connect = connect
-        Operators(bench.node).attach("e1")
+        OperatorCommands(bench.node).attach("e1")
         request = await bench.partner.next()
         assert request.headers["x-correlation-id"] == OFFER.id.decode()
         request.answer(200)
@@ -209,12 +209,14 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer()
-        Operators(bench.node).detach("e1")  # before the turn that would send it: the module hears of it last
+        OperatorCommands(bench.node).detach(
+            "e1"
+        )  # before the turn that would send it: the module hears of it last
         assert await bench.answers.get() == TAKEN
         await asyncio.sleep(0.1)
         assert bench.partner.requests.empty() and bench.partner.connections == 0
         bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
-        Operators(bench.node).attach("e1")
+        OperatorCommands(bench.node).attach("e1")
         for _ in range(2):
             (await bench.partner.next()).answer(200)
 
@@ -222,16 +224,16 @@
 def test_ids_that_nobody_has_are_refused_and_one_that_has_just_left_is_not(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
-        for operation in (Operators(bench.node).detach, Operators(bench.node).attach):
+        for operation in (OperatorCommands(bench.node).detach, OperatorCommands(bench.node).attach):
             with pytest.raises(Refused, match="no endpoint is called nobody"):
                 operation("nobody")
         bench.node.registry.apply_update(
             {"version": 42, "full": False, "servers": [bench.row | {"state": "DELETED"}]}
         )
-        Operators(bench.node).detach("e1")
+        OperatorCommands(bench.node).detach("e1")
         assert Bans(bench.journal).ids == {"e1"}
         bench.node.registry.left.clear()  # long ago
-        Operators(bench.node).attach("e1")
+        OperatorCommands(bench.node).attach("e1")
         assert Bans(bench.journal).ids == set()
 
 
@@ -243,7 +245,7 @@
 
         monkeypatch.setattr(bench.journal.files, "write", full)
         with pytest.raises(Refused, match="cannot be kept"):
-            Operators(bench.node).detach("e1")
+            OperatorCommands(bench.node).detach("e1")
         monkeypatch.undo()
         assert not bench.node.bans.ids and not bench.node.endpoints.banned
         bench.offer()
@@ -351,7 +353,7 @@
     async def _(bench):
         results, endpoints = [], bench.node.endpoints
         endpoints.report = results.append
-        Operators(bench.node).detach("e1")
+        OperatorCommands(bench.node).detach("e1")
         due = endpoints.loop.time() + 5.0
         endpoints.send("e1", [Attempt(1, 0, b"m1", b"", due, due, "note", b"", 0.0)])
         await asyncio.sleep(0.05)
--- a/tests/test_unheard_elsewhere.py
+++ b/tests/test_unheard_elsewhere.py
@@ -14,7 +14,7 @@
 
 from rushhitch import discovery
 from rushhitch.control.bans import Bans
-from rushhitch.core.operators import Operators
+from rushhitch.core.operator_commands import OperatorCommands
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.discovery import Notices, Platform, Watch
 from rushhitch.fronts.listener import Clients
@@ -188,7 +188,7 @@
     """The old one's side of an upgrade over a node of this process; the test plays the new one."""
 
     def __init__(self, bench, folder):
-        self.transfer, operators, self.desk = StateTransfer(bench.node), Operators(bench.node), Desk()
+        self.transfer, operators, self.desk = StateTransfer(bench.node), OperatorCommands(bench.node), Desk()
         clients = Clients(bench.node, 16)
         operate = self.desk.own(operators)
         self.handover = Handover(folder, self.transfer, operators, clients, lambda: 41, operate)
