--- a/rushhitch/acceptor.py
+++ b/rushhitch/acceptor.py
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What became of an offer, and later of the message. `what` is "taken"; "delivered"; "refused", which
+    """What became of an offer, and later of the message. `status` is "taken"; "delivered"; "refused", which
     never ran and may come again after `wait_ms` milliseconds (0: none is told); or "failed", which may have
     run. Of an acknowledgement it is "acknowledged"; "late", where the message was told as failed before;
     "differs", where its end was another; "unknown", where there is no such message; or "refused"."""
 
-    what: str
+    status: str
     wait_ms: float = 0.0
 
 
--- a/rushhitch/core/figures.py
+++ b/rushhitch/core/metrics.py
@@ -9,7 +9,7 @@
 COLUMNS = {"delivered": "success", "refused": "busy", "failed": "failure"}  # by how a message ended
 
 
-class Figures:
+class Metrics:
     """Counts from 0 with each process. An end is counted where it is given, once, by the name of its class,
     also of one that was dropped since."""
 
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -36,10 +36,10 @@
 from rushhitch.core.acknowledgements import ACKNOWLEDGED, UNKNOWN, EndHistory, effect
 from rushhitch.core.acknowledgements import Effect as Acknowledged
 from rushhitch.core.endpoint_registry import EndpointRegistry
-from rushhitch.core.figures import Figures
 from rushhitch.core.lifecycle import Effect, Lifecycle, Phase, Stage
 from rushhitch.core.limits import RateLimits
 from rushhitch.core.messages import BUSY_MS, InheritedAttempt, Message, PendingNotice
+from rushhitch.core.metrics import Metrics
 from rushhitch.core.recent_ends import RecentEnds
 from rushhitch.core.remembered_ends import KEEP_S, MOST, End, RememberedEnds
 from rushhitch.core.request_log import FINAL_ANSWER, log_abandoned, log_refusal, log_step, log_untried_end
@@ -98,7 +98,7 @@
         self.classes = {cls.name: position for position, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: position for position, tenant in enumerate(settings.tenants)}
         self.history = history or History()  # of settings: what messages were taken under
-        self.figures = Figures(self.classes)
+        self.metrics = Metrics(self.classes)
         self.bans = bans  # endpoints that operators took out
         self.limits = RateLimits(settings.dispatchers, self.note, dispatcher.held)
         self.registry = EndpointRegistry(
@@ -169,7 +169,7 @@
         self.limits.dispatchers = settings.dispatchers
         self.classes = {cls.name: position for position, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: position for position, tenant in enumerate(settings.tenants)}
-        self.figures.named(self.classes)
+        self.metrics.named(self.classes)
         self.endpoints.settings = settings
         self.note(api.Reconfigured(settings))
 
@@ -225,7 +225,7 @@
             self.journal.end(gone)
         full = offer.remember and self.remembered_ends.full(len(self.by_id))
         if full or len(self.by_id) >= self.settings.max_held or not self.journal.has_room(room):
-            self.figures.ended(offer.cls, "refused")
+            self.metrics.ended(offer.cls, "refused")
             answer(Reply("refused", BUSY_MS))
             return 0
         self.numbers += 1
@@ -752,17 +752,17 @@
         self.lifecycle.advance(message, effect)
         noticed = effect is Effect.EXPIRE
         if end is not WITHDRAWN:
-            self.figures.ended(message.kept.cls, end.what)
+            self.metrics.ended(message.kept.cls, end.status)
         self.completions += [(ended, end) for ended in message.completion_listeners]
         message.completion_listeners.clear()
         if message.watchdog is not None:
             message.watchdog.cancel()
         if message.attempts and self.acknowledges(message.kept.destination):
-            self.end_history.add(message.kept.id, end.what, message.kept.deadline + self.keep_s)
+            self.end_history.add(message.kept.id, end.status, message.kept.deadline + self.keep_s)
         if message.number in self.journal.live:
-            if message.kept.remember and end.what != WITHDRAWN.what:
+            if message.kept.remember and end.status != WITHDRAWN.status:
                 if not noticed:
-                    self.journal.owe(message.number, end.what, 0.0)
+                    self.journal.owe(message.number, end.status, 0.0)
                 self.remember(message.kept, end)
             elif not noticed:
                 self.journal.end(message.number)
@@ -778,7 +778,7 @@
         if not attributes or self.sinks is None:
             return
         at = datetime.now(UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
-        told = self.sinks.end_of(attributes, end.what, at)
+        told = self.sinks.end_of(attributes, end.status, at)
         if told.id in self.by_id:  # told by an earlier process that did not come to the end's record
             return
         self.numbers += 1
@@ -801,7 +801,7 @@
 
     def notice_heard(self, number: int) -> None:
         if number in self.remembered_ends.numbers:
-            self.journal.owe(number, FAILED.what, 0.0)  # the platform knows now
+            self.journal.owe(number, FAILED.status, 0.0)  # the platform knows now
             self.commit()
         elif number in self.journal.live:
             self.journal.end(number)
--- a/rushhitch/core/operator_commands.py
+++ b/rushhitch/core/operator_commands.py
@@ -52,6 +52,6 @@
         node = self.node
         held = 0 if node.relinquished else len(node.by_id)
         known = len(node.registry.entries), node.dispatcher.avoided()
-        told = node.figures.report(node.endpoints.written, held, *known)
+        told = node.metrics.report(node.endpoints.written, held, *known)
         start = node.start_report.counts()
         return told | {"refused_effects": node.lifecycle.counts(), "found_at_start": start}
--- a/rushhitch/core/resumption.py
+++ b/rushhitch/core/resumption.py
@@ -65,7 +65,7 @@
             assert kept.notice is not None, "it has ended"
             result, wait_ms = kept.notice
             if kept.remember and result != "bounced":
-                node.remember(kept, DELIVERED if result == DELIVERED.what else FAILED)
+                node.remember(kept, DELIVERED if result == DELIVERED.status else FAILED)
             if state is Found.TO_BE_NOTIFIED:
                 node.notify(kept.number, kept.id, result, wait_ms)
         case _:
@@ -92,4 +92,4 @@
     node.recent_ends.add(kept.id, end, node.loop.time())
     node.journal.owe(kept.number, result, end.wait_ms)
     node.notices.append(PendingNotice(kept.number, kept.id, result, end.wait_ms, node.due_of(kept)))
-    node.figures.ended(kept.cls, end.what)
+    node.metrics.ended(kept.cls, end.status)
--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -64,11 +64,11 @@
 def outcome_of(reply: Reply, event: Event) -> Outcome:
     """What a client hears of an event's state."""
     source, name = event.identity
-    shown: dict[str, Any] = {"source": source, "id": name, "state": reply.what}
-    if reply.what in DETAIL:
-        shown = Outcome.problem(STATUS[reply.what], DETAIL[reply.what]).body | shown
-    wait_ms = (reply.wait_ms or REFUSED_MS) if reply.what == "refused" else 0.0
-    return Outcome(STATUS[reply.what], shown, wait_ms, reply.what != "taken")
+    shown: dict[str, Any] = {"source": source, "id": name, "state": reply.status}
+    if reply.status in DETAIL:
+        shown = Outcome.problem(STATUS[reply.status], DETAIL[reply.status]).body | shown
+    wait_ms = (reply.wait_ms or REFUSED_MS) if reply.status == "refused" else 0.0
+    return Outcome(STATUS[reply.status], shown, wait_ms, reply.status != "taken")
 
 
 def wait_of(headers: list[tuple[str, str]]) -> float:
--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -26,9 +26,9 @@
 
 def answer_line(reply: Reply) -> bytes:
     """What became of an OUT.ADD, on the wire."""
-    if reply.what == "taken":
+    if reply.status == "taken":
         return b"+OK\r\n"
-    if reply.what == "refused":
+    if reply.status == "refused":
         return b"-BUSY %d\r\n" % reply.wait_ms if reply.wait_ms >= 1 else b"-BUSY\r\n"
     return error_line("the message cannot be delivered")
 
@@ -204,7 +204,7 @@
 
     def answer(self, slot: Slot, reply: Reply) -> bool:
         """What became of an offer; False where an acceptance did not reach the system whole, in this step."""
-        if reply.what == "taken":
+        if reply.status == "taken":
             if self.reachable(slot):
                 return self.reply_at_once(slot, answer_line(reply))
             if slot.handles:  # its client has gone since the core looked
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -31,9 +31,9 @@
 from rushhitch.control.server import MOST_CALLERS, Control
 from rushhitch.control.words import TAKES_ID, BadCommand, Refused, answer, parse
 from rushhitch.core.endpoint_registry import with_unbatched_kinds
-from rushhitch.core.figures import Figures
 from rushhitch.core.lifecycle import Phase
 from rushhitch.core.messages import InheritedAttempt
+from rushhitch.core.metrics import Metrics
 from rushhitch.core.node import Node
 from rushhitch.core.operator_commands import OperatorCommands
 from rushhitch.core.resumption import resume
@@ -484,14 +484,14 @@
             history = kept.with_taken(new, node.numbers + 1)
             node.reconfigure(in_force(new), history)
         except ValueError as error:
-            node.figures.reconfig_failed += 1
+            node.metrics.reconfig_failed += 1
             log.error("SIGHUP: the old configuration stays: %s", error)
             continue
         except Exception:  # guards against a fault of our own, after which no SIGHUP would be heard
-            node.figures.reconfig_failed += 1
+            node.metrics.reconfig_failed += 1
             log.exception("SIGHUP: the old configuration stays")
             continue
-        node.figures.reconfig_ok += 1
+        node.metrics.reconfig_ok += 1
         kept.keep(history, node)
         log.info("SIGHUP: discovery is at %s:%d", *new.discovery)
         if new.discovery != configuration.discovery:
@@ -604,7 +604,7 @@
             raise Refused("not ready: it takes no messages now")
 
     def info(self) -> dict[str, Any]:
-        return Figures().report(0, 0, *self.known) if self.operators is None else self.operators.info()
+        return Metrics().report(0, 0, *self.known) if self.operators is None else self.operators.info()
 
     def detach(self, endpoint: str) -> None:
         if self.operators is None:
--- a/tests/test_acknowledgements_crash.py
+++ b/tests/test_acknowledgements_crash.py
@@ -40,7 +40,7 @@
         self.said.add(mark)
 
         def heard(reply):
-            if reply.what == "refused":
+            if reply.status == "refused":
                 self.outside.time.call_later(AGAIN_S, self.say, name, verdict, mark)
                 return
             self.words.pop(mark, None)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,7 +10,7 @@
 from rushhitch.control import server as control_server
 from rushhitch.control.server import Control
 from rushhitch.control.words import MOST_LINE, Refused, answer
-from rushhitch.core.figures import Figures
+from rushhitch.core.metrics import Metrics
 
 
 class Recorder:
@@ -125,7 +125,7 @@
 
 
 def test_figures_go_by_class_also_where_it_has_been_dropped_since():
-    figures = Figures(["a", "b"])
+    figures = Metrics(["a", "b"])
     figures.ended("a", "delivered")
     figures.ended("gone", "failed")
     figures.named(["c"])
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -26,7 +26,7 @@
         assert counted(info()) == 0 and info()["inflight"] == 0 and info()["hosts_listed"] == 1
         bench.offer(Submission(b"m1", "note", 7, 6000.0, b""))
         assert info()["inflight"] == 1
-        assert (await bench.answers.get()).what == "taken"
+        assert (await bench.answers.get()).status == "taken"
         request = await bench.partner.next()
         assert info()["inflight"] == 1 and counted(info()) == 0
         await until(lambda: info()["backend_calls"] == 1)
@@ -37,7 +37,7 @@
         await until(lambda: info()["success"]["note"] == 1)
         assert info()["inflight"] == 0 and info()["backend_calls"] == 2
         bench.offer(Submission(b"m2", "pay", 7, 24000.0, b""))
-        assert (await bench.answers.get()).what == "taken"
+        assert (await bench.answers.get()).status == "taken"
         (await bench.partner.next()).answer(500)  # an unsafe message
         await until(lambda: info()["failure"]["pay"] == 1)
         assert counted(info()) == 2 and info()["inflight"] == 0 and info()["backend_calls"] == 3
@@ -48,7 +48,7 @@
     async def _(bench):
         monkeypatch.setattr(bench.journal, "has_room", lambda body: False)
         bench.offer(Submission(b"m1", "note", 7, 6000.0, b""))
-        assert (await bench.answers.get()).what == "refused"
+        assert (await bench.answers.get()).status == "refused"
         told = OperatorCommands(bench.node).info()
         assert told["busy"] == {"note": 1, "pay": 0} and counted(told) == 1 and told["inflight"] == 0
 
@@ -66,7 +66,7 @@
     async def work():
         bench = await Bench().start(tmp_path)
         bench.offer(Submission(b"m1", "note", 7, 6000.0, b""))
-        assert (await bench.answers.get()).what == "taken"
+        assert (await bench.answers.get()).status == "taken"
         await bench.partner.next()
         before = OperatorCommands(bench.node).info()
         bench.journal.close()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -119,7 +119,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(Dispatcher, "handle", broken)
             bench.offer()
-            assert (await bench.answers.get()).what == "refused"
+            assert (await bench.answers.get()).status == "refused"
         bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
         assert await bench.answers.get() == TAKEN
 
@@ -135,7 +135,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(Files, "write", lambda files, fd, data: full(fd, data))
             bench.offer()
-            assert (await bench.answers.get()).what == "refused"
+            assert (await bench.answers.get()).status == "refused"
             assert bench.partner.requests.empty()
         bench.journal.reserve_due = 0.0
         bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -283,7 +283,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.offer(OFFER, bench.answers.put_nowait, reachable=lambda: False)
-        assert (await bench.answers.get()).what == "refused"
+        assert (await bench.answers.get()).status == "refused"
         assert not bench.journal.live and bench.partner.requests.empty()
 
 
@@ -304,7 +304,7 @@
             bench.node.offer(
                 Submission(b"m%d" % number, "pay", 7, 6000.0, b"hello"), bench.answers.put_nowait
             )
-        assert [(await bench.answers.get()).what for _ in range(3)] == ["refused"] * 3
+        assert [(await bench.answers.get()).status for _ in range(3)] == ["refused"] * 3
         failing[0] = False
         bench.node.commit()
         assert not Journal(tmp_path / "state", 3e6, writable=False).live
@@ -392,9 +392,9 @@
             request.answer(500)
             assert (await bench.ends.get())[2] == "dead"
             bench.offer()
-            assert (await bench.answers.get()).what == "failed"
+            assert (await bench.answers.get()).status == "failed"
         else:
-            assert (await bench.answers.get()).what == "refused"
+            assert (await bench.answers.get()).status == "refused"
             assert (await bench.ends.get())[2] == "bounced"
         await asyncio.sleep(QUIET_S / 4.0)
         assert bench.partner.requests.empty()
