--- a/rushhitch/acceptor.py
+++ b/rushhitch/acceptor.py
@@ -39,7 +39,7 @@
     wait_ms: float = 0.0
 
 
-TAKEN, DELIVERED, FAILED = Reply("taken"), Reply("delivered"), Reply("failed")
+ACCEPTED, DELIVERED, FAILED = Reply("taken"), Reply("delivered"), Reply("failed")
 ReplyCallback = Callable[
     [Reply], object
 ]  # gives False where "taken" did not reach the system whole in this step
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -16,9 +16,9 @@
 from crowpier import interface as api
 from crowpier.interface import Outcome, Settings
 from rushhitch.acceptor import (
+    ACCEPTED,
     DELIVERED,
     FAILED,
-    TAKEN,
     Acknowledgement,
     BadRequest,
     ClientCheck,
@@ -60,7 +60,7 @@
 OVERDUE_S = 0.1  # after its time is up, a message that the module has not ended is failed here
 ANSWER_MARGIN_S = 0.1  # a client's message is so much older than we know, at most: it waited on its way here
 ENDED_SHARE = 0.5  # of the room for live messages: identities remembered past their end take no more
-ACCEPTED = 202
+HTTP_ACCEPTED = 202
 RAN = {Verdict.NOT_RUN: Outcome.MOOT, Verdict.RAN: Outcome.ERROR}  # what a negative acknowledgement means
 ACK_MARGIN_S = 0.1  # before its time is up, a message that no acknowledgement has come for is failed
 REFUSED_NOTICE, FAILED_NOTICE = "bounced", "dead"  # ends as the platform is told them
@@ -393,7 +393,7 @@
 
     def acknowledges(self, destination: int) -> bool:
         """Whether its answers may only say that an acknowledgement is to come."""
-        return self.registry.codecs.get(destination, PLATFORM).later(ACCEPTED)
+        return self.registry.codecs.get(destination, PLATFORM).later(HTTP_ACCEPTED)
 
     def ordered(self, kept: Kept) -> bool:
         """Whether messages of its key go one after another."""
@@ -747,7 +747,7 @@
             return
         told = end in (DELIVERED, FAILED) or message.stage is Stage.ABANDONED
         if told and effect is not Effect.REJECT and not message.kept.remember:
-            self.recent_ends.add(message.id, TAKEN if end is DELIVERED else end, self.loop.time())
+            self.recent_ends.add(message.id, ACCEPTED if end is DELIVERED else end, self.loop.time())
         self.notify_sink(message, end)
         self.lifecycle.advance(message, effect)
         noticed = effect is Effect.EXPIRE
@@ -869,7 +869,7 @@
 def told(answer: ReplyCallback) -> bool:
     """Whether the client's answer, that its message is accepted, is wholly in the system's hands."""
     try:
-        return answer(TAKEN) is not False
+        return answer(ACCEPTED) is not False
     except Exception:  # guards against a fault of our own, behind which others would wait for their answers
         log.exception("a client was not answered")
         return False
--- a/tests/lives.py
+++ b/tests/lives.py
@@ -14,7 +14,7 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import settings_of
 from crowpier.interface import Outcome
-from rushhitch.acceptor import TAKEN, Reply, Submission
+from rushhitch.acceptor import ACCEPTED, Reply, Submission
 from rushhitch.core import node as node_module
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
@@ -233,7 +233,7 @@
 
         def answer(reply: Reply) -> None:
             self.outside.answers[name] += 1
-            if reply == TAKEN:
+            if reply == ACCEPTED:
                 self.outside.taken[name] = cls
 
         attributes = b'{"id":"1"}' if remember else b""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from test_fronts_resp2 import ADD, Acceptor, connect
 
-from rushhitch.acceptor import TAKEN
+from rushhitch.acceptor import ACCEPTED
 from rushhitch.fronts import admission, listener
 from rushhitch.fronts.admission import Standing, order
 from rushhitch.fronts.listener import Clients
@@ -175,7 +175,7 @@
         async def take():
             while True:
                 _, answer = await acceptor.offers.get()
-                answer(TAKEN)
+                answer(ACCEPTED)
 
         flooding, taking = asyncio.ensure_future(flood()), asyncio.ensure_future(take())
         await asyncio.sleep(1.2)  # the table is full of strangers
--- a/tests/test_close_over_unread.py
+++ b/tests/test_close_over_unread.py
@@ -6,7 +6,7 @@
 
 from doubles import run
 
-from rushhitch.acceptor import TAKEN
+from rushhitch.acceptor import ACCEPTED
 from rushhitch.fronts.listener import Clients
 from rushhitch.fronts.resp2 import Resp2
 
@@ -22,7 +22,7 @@
 
     def offer(self, offer, answer, ended=None, reachable=None):
         if reachable():
-            self.accepted.append(answer(TAKEN) is not False)
+            self.accepted.append(answer(ACCEPTED) is not False)
         else:
             from rushhitch.acceptor import Reply
 
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from rushhitch.acceptor import MAX_BODY_BYTES, TAKEN, BadRequest, Reply
+from rushhitch.acceptor import ACCEPTED, MAX_BODY_BYTES, BadRequest, Reply
 from rushhitch.fronts import admission
 from rushhitch.fronts import resp2 as clients
 from rushhitch.fronts.listener import Clients
@@ -84,7 +84,7 @@
         _, first = await acceptor.offers.get()
         _, second = await acceptor.offers.get()
         second(Reply("refused", 300.0))
-        first(TAKEN)
+        first(ACCEPTED)
         assert [await client.line() for _ in range(3)] == [b"+OK\r\n", b"+PONG\r\n", b"-BUSY 300\r\n"]
 
 
@@ -102,7 +102,7 @@
                 sock.shutdown(socket.SHUT_WR)
             else:
                 sock.close()
-            assert answer(TAKEN) is False  # no turn of the event loop since: it has not read the end
+            assert answer(ACCEPTED) is False  # no turn of the event loop since: it has not read the end
             if how == "shut":
                 sock.setblocking(False)
                 line = await asyncio.get_running_loop().sock_recv(sock, 100)
@@ -118,7 +118,7 @@
         _, first = await acceptor.offers.get()
 
         def offer(offer, answer, **_):
-            assert answer(TAKEN)
+            assert answer(ACCEPTED)
             return 0
 
         acceptor.offer = offer
@@ -215,7 +215,7 @@
         second = await connect(server)
         assert b"too many clients" in await second.line()
         assert await second.line() == b""
-        answer(TAKEN)
+        answer(ACCEPTED)
         assert await first.line() == b"+OK\r\n"
 
 
@@ -270,7 +270,7 @@
         server.stop_listening()
         server.finish()
         assert await idle.line() == b""
-        answer(TAKEN)
+        answer(ACCEPTED)
         assert await asking.line() == b"+OK\r\n" and await asking.line() == b""
         writing.writer.write(b"NG\r\n")
         assert await writing.line() == b"+PONG\r\n" and await writing.line() == b""
@@ -299,7 +299,7 @@
         asking.send(*ADD)
         _, answer = await acceptor.offers.get()
         assert await kept.ask(b"PING") == b"+PONG\r\n" and await kept.line() == b""
-        answer(TAKEN)
+        answer(ACCEPTED)
         assert await asking.line() == b"+OK\r\n" and await asking.line() == b""
 
 
@@ -343,7 +343,7 @@
         for _ in range(30):
             _, answer = await acceptor.offers.get()
             assert acceptor.offers.qsize() < 4
-            answer(TAKEN)
+            answer(ACCEPTED)
         assert [await client.line() for _ in range(30)] == [b"+OK\r\n"] * 30
 
 
@@ -424,7 +424,7 @@
             connection.finishing = True
             sock.send(pack(ADD))  # in the very moment, and unread
             for answer in answers:
-                answer(TAKEN)
+                answer(ACCEPTED)
             while server.clients:
                 await asyncio.sleep(0)
             assert acceptor.offers.empty()
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -11,7 +11,7 @@
 from test_node import OFFER, with_bench
 
 from crowpier.interface import Attached, Detached, Entry, ListKind, Outcome, Remember, Send, State
-from rushhitch.acceptor import TAKEN, Submission
+from rushhitch.acceptor import ACCEPTED, Submission
 from rushhitch.control.bans import NAME, Bans
 from rushhitch.control.words import Refused
 from rushhitch.core.operator_commands import OperatorCommands
@@ -193,7 +193,7 @@
 
         bench.node.endpoints.connect = slow
         bench.offer()
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         while not started:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.2)
@@ -212,7 +212,7 @@
         OperatorCommands(bench.node).detach(
             "e1"
         )  # before the turn that would send it: the module hears of it last
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         await asyncio.sleep(0.1)
         assert bench.partner.requests.empty() and bench.partner.connections == 0
         bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -11,7 +11,7 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import settings_of
 from crowpier.interface import Arrived, Listed, ListKind, Remembered, State
-from rushhitch.acceptor import TAKEN, Reply, Submission
+from rushhitch.acceptor import ACCEPTED, Reply, Submission
 from rushhitch.control.bans import Bans
 from rushhitch.core import endpoint_registry
 from rushhitch.core import node as node_module
@@ -77,7 +77,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer(Submission(b"m1", "note", 7, 50.0, b""))
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         assert await bench.ends.get() == (1, b"m1", "dead", 0.0)
         assert bench.node.idle.is_set()
 
@@ -121,7 +121,7 @@
             bench.offer()
             assert (await bench.answers.get()).status == "refused"
         bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
 
     assert "Traceback" in caplog.text and "a fault of our own" in caplog.text
 
@@ -139,7 +139,7 @@
             assert bench.partner.requests.empty()
         bench.journal.reserve_due = 0.0
         bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         assert (await bench.partner.next()).headers["x-correlation-id"] == "m2"
 
 
@@ -147,9 +147,9 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer()
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         bench.offer()
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         assert len(bench.node.by_id) == 1
 
 
@@ -253,7 +253,7 @@
             bench.journal.chill(f"n{number}", 1.0)
             bench.offer(Submission(b"m%d" % number, "note", 1000 + number, 6000.0, b"", key=number + 1))
             bench.node.turn()
-            assert await bench.answers.get() == TAKEN
+            assert await bench.answers.get() == ACCEPTED
             (await bench.partner.next()).answer(200)
             while bench.node.by_id:
                 await asyncio.sleep(0)
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -13,7 +13,7 @@
 from crowpier import Dispatcher
 from crowpier.interface import Outcome
 from rushhitch import connection
-from rushhitch.acceptor import TAKEN, Submission
+from rushhitch.acceptor import ACCEPTED, Submission
 from rushhitch.core.messages import InheritedAttempt
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
@@ -205,7 +205,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.offer(Submission(b"m1", "pay", 7, 6000.0, b"hello"), bench.answers.put_nowait)
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         while bench.partner.connections == 0:
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.05)
@@ -273,7 +273,7 @@
     async def _(bench):
         bench.node.offer(OFFER, lambda reply: False)
         bench.node.offer(Submission(b"m2", "note", 7, 6000.0, b"hello"), bench.answers.put_nowait)
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         assert (await bench.partner.next()).headers["x-correlation-id"] == "m2"
         assert bench.partner.requests.empty()
         assert [kept.id for kept in bench.journal.live.values()] == [b"m2"]
@@ -316,7 +316,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.offer(Submission(b"m1", "pay", 7, 700.0, b"hello"), bench.answers.put_nowait)
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         request = await bench.partner.next()
         started = asyncio.get_running_loop().time()
 
@@ -382,13 +382,13 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer()
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         if called:
             request = await bench.partner.next()
         bench.node.abandon(1, "its client's connection broke")
         bench.offer()
         if called:  # its end is owed still
-            assert await bench.answers.get() == TAKEN
+            assert await bench.answers.get() == ACCEPTED
             request.answer(500)
             assert (await bench.ends.get())[2] == "dead"
             bench.offer()
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -15,7 +15,7 @@
 from test_node import with_bench
 
 from lab.addresses import free_address
-from rushhitch.acceptor import TAKEN, Submission
+from rushhitch.acceptor import ACCEPTED, Submission
 from rushhitch.core.operator_commands import OperatorCommands
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.succession import channel as channels
@@ -513,7 +513,7 @@
         request.answer(200)
         await until(lambda: results)
         assert results[0].over and OperatorCommands(bench.node).info()["inflight"] == 0
-        assert (await bench.answers.get()) == TAKEN and (await bench.answers.get()).what == "refused"
+        assert (await bench.answers.get()) == ACCEPTED and (await bench.answers.get()).what == "refused"
         assert held == {path: path.read_bytes() for path in (tmp_path / "state").iterdir() if path.is_file()}
         os.close(lock)
 
