--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -6,8 +6,8 @@
 import pytest
 from doubles import playing
 from leavers import (
-    ACCEPTED,
     LONG_LOOK,
+    TAKEN,
     Door,
     Endpoint,
     LateEndpoint,
@@ -87,7 +87,7 @@
     stays = [RawClient(program, b"stays-" + cls.encode(), cls) for cls in ("note", "pay")]
     for client in stays:
         client.hand_in()
-        assert await client.hear() == ACCEPTED
+        assert await client.hear() == TAKEN
     served = {client.name for client in stays}
     assert await endpoint.until(lambda: served <= endpoint.delivered, SERVED_S)
     await endpoint.rest()
@@ -98,7 +98,7 @@
     """Each heard that it is accepted, and was sent on."""
     names = {client.name for client in clients}
     await endpoint.until(lambda: names <= endpoint.delivered and all(c.heard for c in clients), SERVED_S)
-    assert [client.heard for client in clients] == [ACCEPTED] * len(clients)
+    assert [client.heard for client in clients] == [TAKEN] * len(clients)
     assert endpoint.count() == dict.fromkeys(names, 1), endpoint.told()
 
 
@@ -158,7 +158,7 @@
                     client.half_close()
             heard = [await client.hear() for client in clients]
             assert all(answer.startswith((b"+OK", b"-BUSY")) for answer in heard)
-            taken = {client.name for client in clients if client.heard == ACCEPTED}
+            taken = {client.name for client in clients if client.heard == TAKEN}
             await endpoint.until(lambda: taken <= endpoint.delivered, SERVED_S)
             served = await stay_and_are_served(program, endpoint)
             assert endpoint.count() == dict.fromkeys(taken, 1) | served
@@ -436,7 +436,7 @@
         async with Endpoint(program) as endpoint:
             await hand_in_together(program, clients, LEFT_MS)
             for client in clients:
-                assert await client.hear() == ACCEPTED
+                assert await client.hear() == TAKEN
                 client.reset()
             await endpoint.until(lambda: not endpoint.endless(clients), LEFT_MS / 1000.0 + 1.0)
             assert not (endless := endpoint.endless(clients)), len(endless)
@@ -456,7 +456,7 @@
         async with Endpoint(program) as endpoint:
             await hand_in_together(program, clients, LEFT_MS)
             for client in clients:
-                assert await client.hear() == ACCEPTED
+                assert await client.hear() == TAKEN
             for client in clients:
                 client.sock.sendall(words(b"last-" + client.name, client.cls, LEFT_MS))
                 client.leave(how)
