--- a/tests/lives.py
+++ b/tests/process_harness.py
@@ -195,7 +195,7 @@
         assert not self.broken, "\n".join(self.broken)
 
 
-class Life:
+class SimulatedProcess:
     """One process: starts on the folder, and is gone when a `Crash` comes out of any call."""
 
     partner = Partner
@@ -256,7 +256,7 @@
     asyncio.run(run())
 
 
-def load(life: Life, first: int, count: int, size: int = 300, remember: bool = False) -> None:
+def load(life: SimulatedProcess, first: int, count: int, size: int = 300, remember: bool = False) -> None:
     """Messages of both classes, some together, over a second or so."""
     for number in range(first, first + count):
         life.offer(b"m%d" % number, ("note", "pay")[number % 2], bytes(size), remember)
--- a/tests/test_acknowledgements_crash.py
+++ b/tests/test_acknowledgements_crash.py
@@ -2,7 +2,7 @@
 kept for ever, whatever the bank says twice or to a process that knows nothing of it."""
 
 import pytest
-from lives import CALL_S, Life, Partner, load, settle, virtual
+from process_harness import CALL_S, Partner, SimulatedProcess, load, settle, virtual
 
 from crowpier.interface import Outcome
 from lab.disk import HOWS, CountingFiles, Crash, CrashingFiles
@@ -67,7 +67,7 @@
         self.outside.bank.owe(name, verdict, b"%s %d" % (name, nth))
 
 
-class AckLife(Life):
+class AckLife(SimulatedProcess):
     partner = Acknowledging
     codecs = {7: CloudEvents("binary", "/rushhitch", {}, acknowledged=True)}
 
--- a/tests/test_journal_crash.py
+++ b/tests/test_journal_crash.py
@@ -5,7 +5,7 @@
 import shutil
 
 import pytest
-from lives import DISK, WALL, Life, load, settle, virtual
+from process_harness import DISK, WALL, SimulatedProcess, load, settle, virtual
 
 from crowpier import Dispatcher
 from crowpier.interface import Arrived
@@ -23,7 +23,7 @@
 def history(outside, files, first=0, count=MESSAGES):
     """One life under load; a `Crash` ends it wherever it is."""
     try:
-        life = Life(outside, files, 1)
+        life = SimulatedProcess(outside, files, 1)
         load(life, first, count)
         settle(outside)
     except Crash:
@@ -35,7 +35,7 @@
 
 def ends(outside, folder):
     """A last life on a sound disk brings all to its end, and the journal is then empty."""
-    life = Life(outside, CountingFiles(folder, DISK), 9)
+    life = SimulatedProcess(outside, CountingFiles(folder, DISK), 9)
     settle(outside)
     outside.check()
     assert not life.journal.live
@@ -87,7 +87,7 @@
         def work(outside):
             files = CrashingFiles(folder, at, how, ROOM)
             try:
-                life = Life(outside, files, 1, ROOM)
+                life = SimulatedProcess(outside, files, 1, ROOM)
                 load(life, 0, EVENTS, remember=True)
                 outside.time.run(1.0)
             except Crash:
@@ -96,7 +96,7 @@
             files.die()
             reached.append(files.reached)
             known = len(outside.delivered)
-            life = Life(outside, CountingFiles(folder, ROOM), 2, ROOM)
+            life = SimulatedProcess(outside, CountingFiles(folder, ROOM), 2, ROOM)
             load(life, 0, EVENTS, remember=True)
             settle(outside)
             assert not outside.broken, outside.broken
@@ -144,7 +144,7 @@
         files = DyingFiles(folder, second, second_how, DISK)
         where = "recovery"
         try:
-            Life(outside, files, 2)
+            SimulatedProcess(outside, files, 2)
             where = "life"
             settle(outside)
             where = ""
@@ -192,7 +192,7 @@
             super().unlink(name)
 
     def work(outside):
-        life = Life(outside, Watching(tmp_path, DISK), 1)
+        life = SimulatedProcess(outside, Watching(tmp_path, DISK), 1)
         step = life.journal.step
 
         def watched():
@@ -218,7 +218,7 @@
 
         def work(outside, files=files):
             try:
-                life = Life(outside, files, 1)
+                life = SimulatedProcess(outside, files, 1)
             except OSError:
                 files.die()  # the disk was full at the start: the process says so and ends
                 return
@@ -255,7 +255,7 @@
 
         copied = []
         try:
-            life = Life(outside, DiesAtUnlink(tmp_path, DISK), 1)
+            life = SimulatedProcess(outside, DiesAtUnlink(tmp_path, DISK), 1)
             step = life.journal.step
 
             def watched():
@@ -277,7 +277,7 @@
 def test_a_disk_that_fills_while_compaction_runs_turns_new_messages_away_and_heals(tmp_path):
     def work(outside):
         files = FullFiles(tmp_path, DISK, DISK)
-        life = Life(outside, files, 1)
+        life = SimulatedProcess(outside, files, 1)
         step = life.journal.step
 
         def filled():
@@ -316,14 +316,14 @@
     # A message's time is told by the wall: it then has more of it, and ends once all the same.
     def work(outside):
         try:
-            life = Life(outside, CrashingFiles(tmp_path, 12, "after", DISK), 1)
+            life = SimulatedProcess(outside, CrashingFiles(tmp_path, 12, "after", DISK), 1)
             load(life, 0, MESSAGES)
         except Crash:
             pass
         outside.killed()
         life.files.die()
         outside.time.wall -= 3600.0
-        life = Life(outside, CountingFiles(tmp_path, DISK), 2)
+        life = SimulatedProcess(outside, CountingFiles(tmp_path, DISK), 2)
         outside.time.run(3700.0)
         outside.check()
         assert not life.journal.live
@@ -353,7 +353,7 @@
 
     def work(outside):
         outside.offered |= {b"m%d" % number: "note" for number in range(1, 6)}
-        life = Life(outside, CountingFiles(tmp_path, DISK), 1)
+        life = SimulatedProcess(outside, CountingFiles(tmp_path, DISK), 1)
         assert list(life.journal.live) != sorted(life.journal.live), "compaction has moved nothing"
         life.files.die()
 
@@ -363,11 +363,11 @@
 
 def test_an_id_that_comes_again_in_a_later_life_is_another_message(tmp_path):
     def work(outside):
-        life = Life(outside, CountingFiles(tmp_path, DISK), 1)
+        life = SimulatedProcess(outside, CountingFiles(tmp_path, DISK), 1)
         life.offer(b"m5", "note", b"first")
         settle(outside)
         life.files.die()
-        life = Life(outside, CountingFiles(tmp_path, DISK), 2)
+        life = SimulatedProcess(outside, CountingFiles(tmp_path, DISK), 2)
         life.offer(b"m5", "note", b"second")
         outside.time.run(0.02)
         assert [kept.body for kept in life.journal.live.values()] == [b"second"]
--- a/tests/test_journal_sync.py
+++ b/tests/test_journal_sync.py
@@ -5,7 +5,7 @@
 import os
 
 import pytest
-from lives import Life, load, settle, virtual
+from process_harness import SimulatedProcess, load, settle, virtual
 
 from lab.disk import HOWS, CountingFiles, Crash, CrashingFiles, PowerCutFiles
 from rushhitch.journal import Journal, Kept, Sync
@@ -42,14 +42,16 @@
 
         def work(outside, files=files, folder=folder, at=at):
             try:
-                life = Life(outside, files, 1, DISK, Sync.ALWAYS)
+                life = SimulatedProcess(outside, files, 1, DISK, Sync.ALWAYS)
                 load(life, 0, 30)
                 settle(outside)
             except Crash:
                 pass
             outside.killed()
             files.cut(seed=at)
-            life = Life(outside, CountingFiles(folder, DISK), 2, DISK, Sync.ALWAYS, boot="the next one")
+            life = SimulatedProcess(
+                outside, CountingFiles(folder, DISK), 2, DISK, Sync.ALWAYS, boot="the next one"
+            )
             settle(outside)
             outside.check()
             assert not life.journal.live
@@ -73,14 +75,14 @@
 
         def work(outside, files=files, folder=folder):
             try:
-                life = Life(outside, files, 1, DISK, Sync.ALWAYS)
+                life = SimulatedProcess(outside, files, 1, DISK, Sync.ALWAYS)
                 load(life, 0, 30)
                 settle(outside)
             except Crash:
                 pass
             outside.killed()
             files.die()
-            life = Life(outside, CountingFiles(folder, DISK), 2, DISK, Sync.ALWAYS)
+            life = SimulatedProcess(outside, CountingFiles(folder, DISK), 2, DISK, Sync.ALWAYS)
             settle(outside)
             outside.check()
             assert not life.journal.live
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -10,7 +10,7 @@
 import pytest
 from bed import settings
 from doubles import WORTH, Program, run
-from lives import CALL_S, Life, Partner, virtual
+from process_harness import CALL_S, Partner, SimulatedProcess, virtual
 from test_endings import Unreached
 from test_endpoints import with_caller
 
@@ -256,7 +256,7 @@
                     self.node.loop.call_later(CALL_S, self.end, endpoint, attempt, Outcome.OK)
 
 
-class Mooring(Life):
+class Mooring(SimulatedProcess):
     """Keeps its steady clock in the folder, as the service does; the module may hear late of its messages."""
 
     partner, classes = Quiet, [BERTH]
