--- a/rushhitch/core/messages.py
+++ b/rushhitch/core/messages.py
@@ -5,17 +5,17 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from rushhitch.core.lifecycle import Stage
-from rushhitch.endpoints import Result
-from rushhitch.journal import Kept
-from rushhitch.taker import (
-    Answer,
-    LookForClient,
-    Reachable,
+from rushhitch.acceptor import (
+    ClientCheck,
+    ReachabilityCheck,
+    ReplyCallback,
     Verdict,
     always_reachable,
-    leave_unwatched,
+    no_client_check,
 )
+from rushhitch.core.lifecycle import Stage
+from rushhitch.endpoints import Result
+from rushhitch.journal import Kept
 
 BUSY_MS = 500  # told to a client where the house or the journal is full
 
@@ -51,11 +51,11 @@
     kept: Kept
     attempts: int
     due: float  # when its time is up, by the clock of the event loop, in seconds
-    answer: Answer | None = None
-    reachable: Reachable = always_reachable  # whether that client can be answered in this step
-    look_for_client: LookForClient = leave_unwatched  # asked before each call
+    answer: ReplyCallback | None = None
+    reachable: ReachabilityCheck = always_reachable  # whether that client can be answered in this step
+    check_client: ClientCheck = no_client_check  # asked before each call
     stage: Stage = Stage.ACCEPTED  # changed by `Lifecycle.advance` alone
-    completion_listeners: list[Answer] = field(default_factory=list)  # those who want to hear its end
+    completion_listeners: list[ReplyCallback] = field(default_factory=list)  # those who want to hear its end
     hearers: int = 1  # clients that were answered that it is accepted, less those that cannot have heard
     resumed: bool = False  # an earlier process accepted it
     out: set[int] = field(default_factory=set)
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -15,17 +15,33 @@
 from crowpier import Dispatcher
 from crowpier import interface as api
 from crowpier.interface import Outcome, Settings
+from rushhitch.acceptor import (
+    ACCEPTED,
+    DELIVERED,
+    FAILED,
+    Acknowledgement,
+    BadRequest,
+    ClientCheck,
+    Pending,
+    ReachabilityCheck,
+    Reply,
+    ReplyCallback,
+    Submission,
+    Verdict,
+    always_reachable,
+    no_client_check,
+)
 from rushhitch.config.history import History
 from rushhitch.control.bans import Bans
-from rushhitch.core.acknowledgements import ACKNOWLEDGED, UNKNOWN, Past, effect
+from rushhitch.core.acknowledgements import ACKNOWLEDGED, UNKNOWN, EndHistory, effect
 from rushhitch.core.acknowledgements import Effect as Acknowledged
-from rushhitch.core.ended import KEEP_S, MOST, End, Ended
-from rushhitch.core.figures import Figures
+from rushhitch.core.endpoint_registry import EndpointRegistry
 from rushhitch.core.lifecycle import Effect, Lifecycle, Phase, Stage
-from rushhitch.core.limits import Limits
-from rushhitch.core.listing import Listing
+from rushhitch.core.limits import RateLimits
 from rushhitch.core.messages import BUSY_MS, InheritedAttempt, Message, PendingNotice
+from rushhitch.core.metrics import Metrics
 from rushhitch.core.recent_ends import RecentEnds
+from rushhitch.core.remembered_ends import KEEP_S, MOST, End, RememberedEnds
 from rushhitch.core.request_log import FINAL_ANSWER, log_abandoned, log_refusal, log_step, log_untried_end
 from rushhitch.core.start_report import StartReport
 from rushhitch.endpoints import PLATFORM, EndpointPool, Result
@@ -34,22 +50,6 @@
 from rushhitch.journal.space import RECORD_ROOM
 from rushhitch.partners.codec import Attempt, Codec
 from rushhitch.partners.gate import Gate
-from rushhitch.taker import (
-    DELIVERED,
-    FAILED,
-    TAKEN,
-    Acknowledgement,
-    Answer,
-    BadRequest,
-    LookForClient,
-    Offer,
-    Pending,
-    Reachable,
-    Reply,
-    Verdict,
-    always_reachable,
-    leave_unwatched,
-)
 
 if TYPE_CHECKING:
     from rushhitch.cloudevents.sinks import Sinks
@@ -60,7 +60,7 @@
 OVERDUE_S = 0.1  # after its time is up, a message that the module has not ended is failed here
 ANSWER_MARGIN_S = 0.1  # a client's message is so much older than we know, at most: it waited on its way here
 ENDED_SHARE = 0.5  # of the room for live messages: identities remembered past their end take no more
-ACCEPTED = 202
+HTTP_ACCEPTED = 202
 RAN = {
     Verdict.NOT_RUN: Outcome.NOT_EXECUTED,
     Verdict.RAN: Outcome.ERROR,
@@ -101,12 +101,14 @@
         self.classes = {cls.name: position for position, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: position for position, tenant in enumerate(settings.tenants)}
         self.history = history or History()  # of settings: what messages were taken under
-        self.figures = Figures(self.classes)
+        self.metrics = Metrics(self.classes)
         self.bans = bans  # endpoints that operators took out
-        self.limits = Limits(settings.dispatchers, self.note, dispatcher.held_by_destination)
-        self.listing = Listing(settings, codecs or {}, self.endpoints, journal, self.limits, self.note)
+        self.limits = RateLimits(settings.dispatchers, self.note, dispatcher.held_by_destination)
+        self.registry = EndpointRegistry(
+            settings, codecs or {}, self.endpoints, journal, self.limits, self.note
+        )
         self.inherited: dict[tuple[int, int], InheritedAttempt] = {}  # an earlier process ends them
-        self.call_back: Callable[[int, int], None] = lambda message, attempt: None  # one of them
+        self.cancel_inherited: Callable[[int, int], None] = lambda message, attempt: None  # one of them
         self.abandon_elsewhere: Callable[[int, str], None] = lambda message, why: None  # once relinquished
         self.ahead_s: float | None = None  # of the loop's clock is the steady one, `journal.steady`
         self.aging: dict[int, float] = {}  # messages with attempts that the module has yet to hear of: since
@@ -115,12 +117,14 @@
         self.numbers = journal.highest
         self.committer = Committer(journal)
         self.notices: list[PendingNotice] = []  # to be told once the journal tells of them
-        self.ended = Ended(min(MOST, int(ENDED_SHARE * journal.space.live_most / RECORD_ROOM)))
+        self.remembered_ends = RememberedEnds(
+            min(MOST, int(ENDED_SHARE * journal.space.live_most / RECORD_ROOM))
+        )
         self.sinks: Sinks | None = None  # where clients may have ends told by messages of our own
-        self.past = Past()
+        self.end_history = EndHistory()
         self.start_report = StartReport()
         self.recent_ends = RecentEnds()
-        self.completions: list[tuple[Answer, Reply]] = []  # likewise, for those who wait
+        self.completions: list[tuple[ReplyCallback, Reply]] = []  # likewise, for those who wait
         self.retrying: asyncio.TimerHandle | None = None
         self.fresh_bytes = 0
         self.reminder: asyncio.TimerHandle | None = None
@@ -168,7 +172,7 @@
         self.limits.dispatchers = settings.dispatchers
         self.classes = {cls.name: position for position, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: position for position, tenant in enumerate(settings.tenants)}
-        self.figures.named(self.classes)
+        self.metrics.named(self.classes)
         self.endpoints.settings = settings
         self.note(api.Reconfigured(settings))
 
@@ -182,13 +186,13 @@
 
     def offer(
         self,
-        offer: Offer,
-        answer: Answer,
-        ended: Answer | None = None,
-        reachable: Reachable = always_reachable,
-        look_for_client: LookForClient = leave_unwatched,
+        offer: Submission,
+        answer: ReplyCallback,
+        ended: ReplyCallback | None = None,
+        reachable: ReachabilityCheck = always_reachable,
+        check_client: ClientCheck = no_client_check,
     ) -> int:
-        """A client hands a message in; it is answered at the end of the turn. `Taker` tells the rest."""
+        """A client hands a message in; it is answered at the end of the turn. `Acceptor` tells the rest."""
         if not self.lifecycle.accepting():
             answer(Reply("refused", BUSY_MS))
             return 0
@@ -200,7 +204,7 @@
             offer = replace(offer, tenant="")
         elif offer.tenant and offer.tenant not in self.tenants:
             raise BadRequest(f"unknown tenant {offer.tenant[:40]!r}")
-        if offer.destination not in self.listing.destinations:
+        if offer.destination not in self.registry.destinations:
             raise BadRequest(f"unknown destination {offer.destination}")
         if held := self.by_id.get(offer.id):
             if held.answer is not None:
@@ -213,18 +217,18 @@
         if (recent := self.recent_ends.get(offer.id, self.loop.time())) is not None:
             answer(recent)
             return 0
-        if offer.remember and (end := self.ended.get(offer.id, self.steady())) is not None:
+        if offer.remember and (end := self.remembered_ends.get(offer.id, self.steady_time())) is not None:
             answer(end)
             return 0
         size = len(offer.body) + len(offer.attributes) + len(offer.tenant) + len(offer.idempotency)
         if self.sinks is not None and self.sinks.named(offer.attributes):
             size += RECORD_ROOM + self.sinks.room  # of the message that tells its end
         room = self.fresh_bytes + size
-        for gone in self.ended.forget(self.steady()):
+        for gone in self.remembered_ends.forget(self.steady_time()):
             self.journal.end(gone)
-        full = offer.remember and self.ended.full(len(self.by_id))
+        full = offer.remember and self.remembered_ends.full(len(self.by_id))
         if full or len(self.by_id) >= self.settings.max_held or not self.journal.has_room(room):
-            self.figures.ended(offer.cls, "refused")
+            self.metrics.ended(offer.cls, "refused")
             answer(Reply("refused", BUSY_MS))
             return 0
         self.numbers += 1
@@ -233,11 +237,11 @@
             offer.id,
             offer.cls,
             offer.destination,
-            self.steady() + offer.left_ms / 1000.0,
+            self.steady_time() + offer.left_ms / 1000.0,
             offer.body,
             offer.key,
             offer.again,
-            taken_at=self.steady(),
+            taken_at=self.steady_time(),
             remember=offer.remember,
             attributes=offer.attributes,
             tenant=offer.tenant,
@@ -245,7 +249,7 @@
         )
         message = self.enter(kept, answer)
         message.stage = Stage.RECEIVED
-        message.reachable, message.look_for_client = reachable, look_for_client
+        message.reachable, message.check_client = reachable, check_client
         if ended is not None:
             message.completion_listeners.append(ended)
         if self.limits.counts is not None:
@@ -269,7 +273,7 @@
         """The tenant's position; past the last one for a message that names none, which has no allowance."""
         return self.tenants.get(name, len(self.settings.tenants))
 
-    def steady(self) -> float:
+    def steady_time(self) -> float:
         """Unix time in seconds by a clock that is not stepped while this process runs, nor over a restart
         where `ahead_s` was kept: all that outlasts the process is told by it."""
         if self.ahead_s is None:
@@ -278,13 +282,13 @@
 
     def due_of(self, kept: Kept) -> float:
         """When the message's time is up, by the clock of the event loop."""
-        return self.loop.time() + max(kept.deadline - self.steady(), 0.0)
+        return self.loop.time() + max(kept.deadline - self.steady_time(), 0.0)
 
     def wall(self, due: float) -> float:
         """A time of the event loop's clock as others read it now: Unix time in seconds."""
         return time.time() + due - self.loop.time()
 
-    def enter(self, kept: Kept, answer: Answer | None = None) -> Message:
+    def enter(self, kept: Kept, answer: ReplyCallback | None = None) -> Message:
         due = self.due_of(kept)
         message = Message(kept.number, kept, kept.attempts, due, answer)
         if self.sinks is not None and self.sinks.named(kept.attributes):
@@ -314,13 +318,13 @@
         self.close(message, Effect.WITHDRAW, end=WITHDRAWN)
         self.note(api.Withdrawn(message.number))
 
-    def look_by(self, number: int, look_for_client: LookForClient) -> None:
-        """See `Taker`."""
+    def set_client_check(self, number: int, check_client: ClientCheck) -> None:
+        """See `Acceptor`."""
         if (message := self.messages.get(number)) is not None:
-            message.look_for_client = look_for_client
+            message.check_client = check_client
 
     def abandon(self, number: int, why: str) -> None:
-        """See `Taker`."""
+        """See `Acceptor`."""
         if self.relinquished:
             self.abandon_elsewhere(number, why)
             return
@@ -346,26 +350,26 @@
     def end_abandoned(self, message: Message) -> None:
         """No call of an abandoned message is out, and none delivered it."""
         if message.kept.first_run is None:
-            self.answer_end(message, REFUSED_NOTICE, BUSY_MS)
+            self.finish(message, REFUSED_NOTICE, BUSY_MS)
         else:
-            self.answer_end(message, FAILED_NOTICE, 0.0)
+            self.finish(message, FAILED_NOTICE, 0.0)
 
     def overdue(self, message: Message) -> None:
         """Guards against a message that fell through: its end is given even if the module gives none."""
         if not message.over:
             log.error("message %d is overdue and is failed", message.number)
-            self.answer_end(message, "dead", 0.0)
+            self.finish(message, "dead", 0.0)
             self.commit()
             self.note(api.Withdrawn(message.number))
 
     def arrive(self, message: Message, loans: Sequence[InheritedAttempt] = (), untried: bool = False) -> None:
         """Give the module a message that has had attempts; those that are out are in an earlier process. An
         age that no clock tells counts as one past every window."""
-        kept, now = message.kept, self.steady()
+        kept, now = message.kept, self.steady_time()
         terms, out = self.history.terms(kept.number, kept.cls), {loan.attempt for loan in loans}
         runs = [where for attempt, where in kept.out.items() if attempt not in out]
         ran = min([*runs, *([kept.ran] if kept.ran else [])], key=itemgetter(1), default=None)
-        age = self.steady() - ran[1] if ran else 0.0
+        age = self.steady_time() - ran[1] if ran else 0.0
         self.aging[message.number] = self.loop.time()
         self.note(
             api.MessageAccepted(
@@ -394,7 +398,7 @@
 
     def acknowledges(self, destination: int) -> bool:
         """Whether its answers may only say that an acknowledgement is to come."""
-        return self.listing.codecs.get(destination, PLATFORM).later(ACCEPTED)
+        return self.registry.codecs.get(destination, PLATFORM).later(HTTP_ACCEPTED)
 
     def ordered(self, kept: Kept) -> bool:
         """Whether messages of its key go one after another."""
@@ -417,16 +421,16 @@
     def unacknowledged(self, message: Message) -> None:
         if not message.over:
             log.info("message %d was not acknowledged in time", message.number)
-            self.answer_end(message, "dead", 0.0)
+            self.finish(message, "dead", 0.0)
             if message.pending is not None:
                 self.attempt_ended(replace(message.pending, later=False))
             self.commit()
 
-    def acknowledge(self, told: Acknowledgement, answer: Answer) -> None:
-        """See `Taker`. It is answered once the journal tells of what it did."""
+    def acknowledge(self, told: Acknowledgement, answer: ReplyCallback) -> None:
+        """See `Acceptor`. It is answered once the journal tells of what it did."""
         message = self.by_id.get(told.message)
         if message is None or message.kept.destination != told.destination:
-            answer(self.past.answer(told, self.steady()))
+            answer(self.end_history.answer(told, self.steady_time()))
             return
         kept, heard = message.kept, message.verdict is not None
         found = effect(told, kept.marks, message.attempts, len(message.out), message.handed, heard)
@@ -531,12 +535,12 @@
         self.note(api.IdleConnectionClosed(endpoint))
 
     def withdrawn(self, endpoint: str) -> None:
-        if (gate := self.listing.gate) is not None and endpoint in self.listing.rows:
+        if (gate := self.registry.gate) is not None and endpoint in self.registry.rows:
             gate.withdrawn(endpoint)
 
     def set_gate(self, gate: Gate) -> None:
         """From now on it says which endpoints of the destinations that it covers may be called."""
-        self.listing.gate, self.limits.stating = gate, True
+        self.registry.gate, self.limits.stating = gate, True
 
     # Actions
 
@@ -623,7 +627,7 @@
 
     def reject(self, message: Message) -> None:
         """Refuse what is not accepted; its client may come again."""
-        self.answer_end(message, "bounced", BUSY_MS)
+        self.finish(message, "bounced", BUSY_MS)
         self.note(api.Withdrawn(message.number))
 
     def may_send(self, attempt: Attempt) -> bool:
@@ -631,7 +635,7 @@
         message = self.messages.get(attempt.message)
         if message is None:
             return False
-        message.look_for_client()
+        message.check_client()
         return self.lifecycle.permits(message, Effect.SEND)
 
     def begin(self, endpoint: str, attempts: list[Attempt], go: Callable[[list[Attempt]], None]) -> None:
@@ -643,7 +647,7 @@
             return [attempt for attempt in attempts if self.may_send(attempt)]
 
         for attempt in open_attempts():
-            self.journal.attempt(attempt.message, attempt.number, endpoint, self.steady())
+            self.journal.attempt(attempt.message, attempt.number, endpoint, self.steady_time())
         self.commit(lambda: go(open_attempts()), lambda: go([]))
 
     def reject_uncommitted(self, fresh: list[Message], sends: dict[str, list[Attempt]]) -> None:
@@ -681,9 +685,9 @@
                     )
                 )
             case api.Fail(number):
-                self.answer_end(self.messages[number], "dead", 0.0)
+                self.finish(self.messages[number], "dead", 0.0)
             case api.Refuse(number, retry_after_ms):
-                self.answer_end(self.messages[number], "bounced", retry_after_ms)
+                self.finish(self.messages[number], "bounced", retry_after_ms)
             case api.Cancel(number, attempt):
                 held = self.messages.get(number)
                 if held is not None and (result := held.pending) and result.attempt.number == attempt:
@@ -692,7 +696,7 @@
                     cancelled = replace(result, outcome=Outcome.CANCELLED, over=False, later=False)
                     self.attempt_ended(cancelled)
                 elif (number, attempt) in self.inherited:
-                    self.call_back(number, attempt)
+                    self.cancel_inherited(number, attempt)
                 else:
                     self.endpoints.cancel(number, attempt)
             case api.SetTimer(in_ms, token):
@@ -718,7 +722,7 @@
     def probe_ended(self, endpoint: str, outcome: Outcome, took_ms: float) -> None:
         self.note(api.ProbeEnded(endpoint, outcome, took_ms))
 
-    def answer_end(self, message: Message, result: str, wait_ms: float) -> None:
+    def finish(self, message: Message, result: str, wait_ms: float) -> None:
         """The final answer: to the client if it still waits for one, else as a notice."""
         if message.over:
             return
@@ -735,7 +739,7 @@
         if message.resumed and not message.attempts:
             log_untried_end(message, result, (message.due - self.loop.time()) * 1000.0)
         end = FAILED if result == "dead" else Reply("refused", wait_ms)
-        self.tell_sink(message, end)
+        self.notify_sink(message, end)
         if message.number in self.journal.live:
             self.journal.owe(message.number, result, wait_ms)
         self.notices.append(PendingNotice(message.number, message.id, result, wait_ms, message.due))
@@ -748,22 +752,22 @@
             return
         told = end in (DELIVERED, FAILED) or message.stage is Stage.ABANDONED
         if told and effect is not Effect.REJECT and not message.kept.remember:
-            self.recent_ends.add(message.id, TAKEN if end is DELIVERED else end, self.loop.time())
-        self.tell_sink(message, end)
+            self.recent_ends.add(message.id, ACCEPTED if end is DELIVERED else end, self.loop.time())
+        self.notify_sink(message, end)
         self.lifecycle.advance(message, effect)
         noticed = effect is Effect.EXPIRE
         if end is not WITHDRAWN:
-            self.figures.ended(message.kept.cls, end.what)
+            self.metrics.ended(message.kept.cls, end.status)
         self.completions += [(ended, end) for ended in message.completion_listeners]
         message.completion_listeners.clear()
         if message.watchdog is not None:
             message.watchdog.cancel()
         if message.attempts and self.acknowledges(message.kept.destination):
-            self.past.add(message.kept.id, end.what, message.kept.deadline + self.keep_s)
+            self.end_history.add(message.kept.id, end.status, message.kept.deadline + self.keep_s)
         if message.number in self.journal.live:
-            if message.kept.remember and end.what != WITHDRAWN.what:
+            if message.kept.remember and end.status != WITHDRAWN.status:
                 if not noticed:
-                    self.journal.owe(message.number, end.what, 0.0)
+                    self.journal.owe(message.number, end.status, 0.0)
                 self.remember(message.kept, end)
             elif not noticed:
                 self.journal.end(message.number)
@@ -772,18 +776,18 @@
         if not self.by_id:
             self.idle.set()
 
-    def tell_sink(self, message: Message, end: Reply) -> None:
+    def notify_sink(self, message: Message, end: Reply) -> None:
         """Take on the message that tells the end of this one, where its client wants that. The journal has it
         before the end, so that a crash between the two cannot leave the end untold."""
         attributes, message.sink = message.sink, b""
         if not attributes or self.sinks is None:
             return
         at = datetime.now(UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
-        told = self.sinks.end_of(attributes, end.what, at)
+        told = self.sinks.end_of(attributes, end.status, at)
         if told.id in self.by_id:  # told by an earlier process that did not come to the end's record
             return
         self.numbers += 1
-        now = self.steady()
+        now = self.steady_time()
         most = self.settings.classes[self.classes[told.cls]].deadline_ms / 1000.0
         words = (told.id, told.cls, told.destination, now + most, told.body)
         kept = Kept(self.numbers, *words, taken_at=now, attributes=told.attributes)
@@ -792,8 +796,8 @@
 
     def remember(self, kept: Kept, end: Reply) -> None:
         """The journal keeps the message, without its body, until its identity may be forgotten."""
-        self.ended.add(kept.id, End(kept.number, end, kept.deadline + self.keep_s))
-        for number in self.ended.forget(self.steady()):
+        self.remembered_ends.add(kept.id, End(kept.number, end, kept.deadline + self.keep_s))
+        for number in self.remembered_ends.forget(self.steady_time()):
             self.journal.end(number)
 
     def forget(self, message: Message) -> None:
@@ -801,8 +805,8 @@
             self.messages.pop(message.number, None)
 
     def notice_heard(self, number: int) -> None:
-        if number in self.ended.numbers:
-            self.journal.owe(number, FAILED.what, 0.0)  # the platform knows now
+        if number in self.remembered_ends.numbers:
+            self.journal.owe(number, FAILED.status, 0.0)  # the platform knows now
             self.commit()
         elif number in self.journal.live:
             self.journal.end(number)
@@ -867,10 +871,10 @@
         return replace(notice, result=FAILED_NOTICE, wait_ms=0.0)
 
 
-def told(answer: Answer) -> bool:
+def told(answer: ReplyCallback) -> bool:
     """Whether the client's answer, that its message is accepted, is wholly in the system's hands."""
     try:
-        return answer(TAKEN) is not False
+        return answer(ACCEPTED) is not False
     except Exception:  # guards against a fault of our own, behind which others would wait for their answers
         log.exception("a client was not answered")
         return False
--- a/rushhitch/core/ended.py
+++ b/rushhitch/core/remembered_ends.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from rushhitch.taker import Reply
+from rushhitch.acceptor import Reply
 
 KEEP_S = 600.0  # past its time an event is remembered for so long: who asks again does so within minutes
 MOST = 100_000  # of them, 30 MB
@@ -20,7 +20,7 @@
     until: float
 
 
-class Ended:
+class RememberedEnds:
     """The ends, by id, in the order in which they are forgotten. The journal has them too, by number: what
     `forget` gives is for it to end."""
 
--- a/rushhitch/core/resumption.py
+++ b/rushhitch/core/resumption.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from crowpier import interface as api
+from rushhitch.acceptor import DELIVERED, FAILED, Reply
 from rushhitch.core.messages import BUSY_MS, InheritedAttempt, PendingNotice
 from rushhitch.core.node import Node
 from rushhitch.core.start_report import Found, found
 from rushhitch.journal import Kept
-from rushhitch.taker import DELIVERED, FAILED, Reply
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
         node.start_report.add(kept, Found.UNANSWERED)
     in_doubt = set(node.journal.in_doubt)
     for kept in node.journal.messages():  # in the order of taking, which some classes keep
-        state = found(kept, node.steady(), in_doubt)
+        state = found(kept, node.steady_time(), in_doubt)
         if kept.cls not in node.classes and node.history.terms(kept.number, kept.cls) is None:
             if state not in (Found.IN_DOUBT, Found.REMEMBERED, Found.TO_BE_NOTIFIED):
                 state = Found.CLASS_GONE
@@ -65,7 +65,7 @@
             assert kept.notice is not None, "it has ended"
             result, wait_ms = kept.notice
             if kept.remember and result != "bounced":
-                node.remember(kept, DELIVERED if result == DELIVERED.what else FAILED)
+                node.remember(kept, DELIVERED if result == DELIVERED.status else FAILED)
             if state is Found.TO_BE_NOTIFIED:
                 node.notify(kept.number, kept.id, result, wait_ms)
         case _:
@@ -92,4 +92,4 @@
     node.recent_ends.add(kept.id, end, node.loop.time())
     node.journal.owe(kept.number, result, end.wait_ms)
     node.notices.append(PendingNotice(kept.number, kept.id, result, end.wait_ms, node.due_of(kept)))
-    node.figures.ended(kept.cls, end.what)
+    node.metrics.ended(kept.cls, end.status)
--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -6,15 +6,15 @@
 
 import hiredis
 
+from rushhitch.acceptor import MAX_BODY_BYTES, MAX_ID_BYTES, BadRequest, Pending, Reply, Submission
 from rushhitch.fronts.client_connection import MOST_REQUEST, ClientConnection, ConnectionOwner, Fault, Slot
-from rushhitch.taker import MOST_BODY, MOST_ID, BadRequest, Offer, Pending, Reply
 
 PONG = b"+PONG\r\n"
 REFUSED = Reply("refused")
 NOTHING = object()  # what the reader gives while no request is complete
 MOST_LINE = 16  # bytes of a line that tells a length
 MOST_KEY = 32  # digits of a key of order
-IDEMPOTENCY = re.compile(rb"[!-~]{0,%d}" % MOST_ID)
+IDEMPOTENCY = re.compile(rb"[!-~]{0,%d}" % MAX_ID_BYTES)
 BURST = 32  # requests of one connection that are served, or without their answers, at once
 REST_S = 0.005  # before the further ones
 TURNED_AWAY_S = 0.1  # before anything more is read of one that was turned away
@@ -26,9 +26,9 @@
 
 def answer_line(reply: Reply) -> bytes:
     """What became of an OUT.ADD, on the wire."""
-    if reply.what == "taken":
+    if reply.status == "taken":
         return b"+OK\r\n"
-    if reply.what == "refused":
+    if reply.status == "refused":
         return b"-BUSY %d\r\n" % reply.wait_ms if reply.wait_ms >= 1 else b"-BUSY\r\n"
     return error_line("the message cannot be delivered")
 
@@ -39,15 +39,15 @@
     return int(text)
 
 
-def parse_offer(words: list[bytes]) -> Offer:
+def parse_offer(words: list[bytes]) -> Submission:
     """The words of an OUT.ADD."""
     if len(words) != 5:
         raise BadRequest(f"OUT.ADD takes key, id, fields and body, not {len(words) - 1} words")
     _, key, name, fields, body = words
-    if not 0 < len(name) <= MOST_ID or not all(33 <= byte < 127 for byte in name):
-        raise BadRequest(f"the id must be 1 to {MOST_ID} printable characters without spaces")
-    if len(body) > MOST_BODY:
-        raise BadRequest(f"the body has {len(body)} bytes, more than {MOST_BODY}")
+    if not 0 < len(name) <= MAX_ID_BYTES or not all(33 <= byte < 127 for byte in name):
+        raise BadRequest(f"the id must be 1 to {MAX_ID_BYTES} printable characters without spaces")
+    if len(body) > MAX_BODY_BYTES:
+        raise BadRequest(f"the body has {len(body)} bytes, more than {MAX_BODY_BYTES}")
     if not re.fullmatch(rb"[0-9a-fA-F]{1,%d}" % MOST_KEY, key):
         raise BadRequest(f"the key must be hexadecimal, not {key[:40]!r}")
     told = dict(pair.partition("=")[::2] for pair in fields.decode("latin-1").split(","))
@@ -56,8 +56,8 @@
             raise BadRequest(f"the field {wanted} is missing")
     idempotency = told.get("k", "").encode("latin-1")
     if not IDEMPOTENCY.fullmatch(idempotency):
-        raise BadRequest(f"k must be up to {MOST_ID} printable characters without spaces")
-    return Offer(
+        raise BadRequest(f"k must be up to {MAX_ID_BYTES} printable characters without spaces")
+    return Submission(
         name,
         told["c"],
         number(told["dest"], "dest"),
@@ -204,7 +204,7 @@
 
     def answer(self, slot: Slot, reply: Reply) -> bool:
         """What became of an offer; False where an acceptance did not reach the system whole, in this step."""
-        if reply.what == "taken":
+        if reply.status == "taken":
             if self.reachable(slot):
                 return self.reply_at_once(slot, answer_line(reply))
             if slot.handles:  # its client has gone since the core looked
@@ -221,11 +221,11 @@
             if command == b"PING" and len(words) == 1:
                 self.reply(slot, PONG)
             elif command == b"OUT.ADD":
-                handle = self.taker.offer(
+                handle = self.acceptor.offer(
                     parse_offer(words),
                     lambda reply: self.answer(slot, reply),
                     reachable=lambda: self.reachable(slot),
-                    look_for_client=self.look_for_client,
+                    check_client=self.check_client,
                 )
                 if slot.accepted and handle:  # a message that was accepted before
                     self.receipts.accepted(handle, self.loop.time())
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -30,12 +30,12 @@
 from rushhitch.control.bans import Bans
 from rushhitch.control.server import MOST_CALLERS, Control
 from rushhitch.control.words import TAKES_ID, BadCommand, Refused, answer, parse
-from rushhitch.core.figures import Figures
+from rushhitch.core.endpoint_registry import with_unbatched_kinds
 from rushhitch.core.lifecycle import Phase
-from rushhitch.core.listing import with_singles
 from rushhitch.core.messages import InheritedAttempt
+from rushhitch.core.metrics import Metrics
 from rushhitch.core.node import Node
-from rushhitch.core.operators import Operators
+from rushhitch.core.operator_commands import OperatorCommands
 from rushhitch.core.resumption import resume
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.discovery import Notices, Platform, Watch
@@ -149,16 +149,16 @@
         known = configuration.known
         if inheritance.told is not None:
             known = {name: inheritance.told[name] for name in ("version", "servers")} | {"full": True}
-        node.listing.take(known, cached=True)
+        node.registry.apply_update(known, cached=True)
         self.watch = Watch(
             configuration.discovery,
             known["version"],
-            node.listing.take,
+            node.registry.apply_update,
             random.Random(configuration.seed),
             dispatchers=configuration.settings.dispatchers,
         )
         self.platform = Platform(self.watch, self.notices)
-        self.transfer, operators = StateTransfer(node), Operators(node)
+        self.transfer, operators = StateTransfer(node), OperatorCommands(node)
         self.handover = Handover(
             configuration.state,
             self.transfer,
@@ -178,11 +178,11 @@
         """Go on with what is there, and take what comes."""
         configuration, node, told = self.configuration, self.node, self.inheritance.told
         if told is not None:
-            self.transfer.inherit_waits(told["waits"])
+            self.transfer.adopt_waits(told["waits"])
             resume(node, told["learned"], [InheritedAttempt(*loan) for loan in told["loans"]])
         else:
             resume(node)
-        if any(message.kept.destination not in node.listing.destinations for message in node.by_id.values()):
+        if any(message.kept.destination not in node.registry.destinations for message in node.by_id.values()):
             self.watch.asks.spread_s = 0.0  # held messages wait for a list: it is asked for at once
         self.platform.start()
         if self.planners is not None:
@@ -224,7 +224,7 @@
         node, transfer = self.node, self.transfer
 
         def ended(told: dict[str, Any]) -> None:
-            transfer.loan_ended(
+            transfer.inherited_attempt_ended(
                 int(told["message"]),
                 int(told["attempt"]),
                 Outcome(told["outcome"]),
@@ -235,9 +235,13 @@
                 told.get("final", False),
             )
 
-        takeover.adopt, takeover.ended, takeover.dead = self.clients.adopt, ended, transfer.lose_loans
+        takeover.adopt, takeover.ended, takeover.dead = (
+            self.clients.adopt,
+            ended,
+            transfer.fail_inherited_attempts,
+        )
         takeover.abandon = node.abandon
-        takeover.relay.operate, node.call_back = self.handover.relay.operate, takeover.call_back
+        takeover.relay.operate, node.cancel_inherited = self.handover.relay.operate, takeover.cancel_inherited
         takeover.go_on()
 
     def tell_status(self, before: dict[str, int] | None = None) -> None:
@@ -367,7 +371,9 @@
 
     node.limits.counts = LaneCounts([cls.worth for cls in configuration.settings.classes])
     own, name = configuration.own, configuration.name
-    return PlannerClient(name, dict(own.planners), own.secret, node.limits.collect, node.limits.guided)
+    return PlannerClient(
+        name, dict(own.planners), own.secret, node.limits.collect, node.limits.apply_allowance
+    )
 
 
 def make_member(configuration: Configuration, told: Mapping[str, Any] | None) -> Member | None:
@@ -421,7 +427,7 @@
 
     asking = own.events.handshake
     agreements = Agreements(asking.origin, asking.rate, asking.renew_s * 1000.0)
-    seams = (node.endpoints.ask, node.limits.state_limits, node.listing)
+    seams = (node.endpoints.ask, node.limits.set_stated_limits, node.registry)
     handshake = Handshake(*seams, agreements, asking.destinations, own.events.path)
     node.set_gate(handshake)
     return handshake
@@ -442,9 +448,9 @@
     clients: Clients, configuration: Configuration, sinks: Sinks | None, passed: socket.socket | None = None
 ) -> None:
     """The CloudEvents front, beside RESP2 and within the same bounds."""
+    from rushhitch.acceptor import Verdict
     from rushhitch.cloudevents.mapping import Acks, Rules  # with its library: only where it is on
     from rushhitch.fronts.cloudevents import CloudEvents, front
-    from rushhitch.taker import Verdict
 
     events = configuration.own.events
     assert events is not None and events.listen is not None, "asked for only where it is set"
@@ -478,14 +484,14 @@
             history = kept.with_taken(new, node.numbers + 1)
             node.reconfigure(in_force(new), history)
         except ValueError as error:
-            node.figures.reconfig_failed += 1
+            node.metrics.reconfig_failed += 1
             log.error("SIGHUP: the old configuration stays: %s", error)
             continue
         except Exception:  # guards against a fault of our own, after which no SIGHUP would be heard
-            node.figures.reconfig_failed += 1
+            node.metrics.reconfig_failed += 1
             log.exception("SIGHUP: the old configuration stays")
             continue
-        node.figures.reconfig_ok += 1
+        node.metrics.reconfig_ok += 1
         kept.keep(history, node)
         log.info("SIGHUP: discovery is at %s:%d", *new.discovery)
         if new.discovery != configuration.discovery:
@@ -496,7 +502,7 @@
 def in_force(configuration: Configuration) -> Settings:
     """The settings as the decisions have them."""
     settings = configuration.settings
-    return with_singles(settings) if codecs(configuration.own) else settings
+    return with_unbatched_kinds(settings) if codecs(configuration.own) else settings
 
 
 def check_classes(configuration: Configuration) -> None:
@@ -564,7 +570,7 @@
     that has handed over. Bans are the owner's to answer; the other passes them on."""
 
     def __init__(self) -> None:
-        self.operators: Operators | None = None
+        self.operators: OperatorCommands | None = None
         self.ready = False
         self.known = (0, 0)  # endpoints listed and avoided, as the owner told
         self.relay: Callable[[bytes], asyncio.Future[bytes]] | None = None
@@ -573,7 +579,7 @@
         """This process takes over as soon as the one before it is told to end."""
         self.ready, self.known = True, (listed, down)
 
-    def own(self, operators: Operators) -> Callable[[bytes], bytes]:
+    def own(self, operators: OperatorCommands) -> Callable[[bytes], bytes]:
         """From now on this process owns all; gives what carries out a word that another was told."""
         self.operators, self.relay = operators, None
         return lambda line: answer(line, self)
@@ -598,7 +604,7 @@
             raise Refused("not ready: it takes no messages now")
 
     def info(self) -> dict[str, Any]:
-        return Figures().report(0, 0, *self.known) if self.operators is None else self.operators.info()
+        return Metrics().report(0, 0, *self.known) if self.operators is None else self.operators.info()
 
     def detach(self, endpoint: str) -> None:
         if self.operators is None:
--- a/tests/lives.py
+++ b/tests/process_harness.py
@@ -14,13 +14,13 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import parse_settings
 from crowpier.interface import Outcome
+from rushhitch.acceptor import ACCEPTED, Reply, Submission
 from rushhitch.core import node as node_module
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.endpoints import Result
 from rushhitch.journal import Journal, Sync
 from rushhitch.journal.files import Files
-from rushhitch.taker import TAKEN, Offer, Reply
 
 WORTH = {"lateWorth": 0.1, "value": 1.0}
 CLASSES = [
@@ -195,7 +195,7 @@
         assert not self.broken, "\n".join(self.broken)
 
 
-class Life:
+class SimulatedProcess:
     """One process: starts on the folder, and is gone when a `Crash` comes out of any call."""
 
     partner = Partner
@@ -216,7 +216,7 @@
         self.node.loop, self.node.endpoints, partner.node = outside.time, partner, self.node
         row = {"addr": "127.0.0.1:1", "zone": "a", "kind": "firms", "cell": 7, "state": "SERVING"}
         rows = [row | {"id": name, "weight": 1.0, "started_ms": 0} for name in ("e1", "e2", "e3")]
-        self.node.listing.take({"version": 41, "full": True, "servers": rows}, cached=True)
+        self.node.registry.apply_update({"version": 41, "full": True, "servers": rows}, cached=True)
         self.begin()
 
     def begin(self) -> None:
@@ -233,11 +233,13 @@
 
         def answer(reply: Reply) -> None:
             self.outside.answers[name] += 1
-            if reply == TAKEN:
+            if reply == ACCEPTED:
                 self.outside.taken[name] = cls
 
         attributes = b'{"id":"1"}' if remember else b""
-        self.node.offer(Offer(name, cls, 7, 5000.0, body, attributes=attributes, remember=remember), answer)
+        self.node.offer(
+            Submission(name, cls, 7, 5000.0, body, attributes=attributes, remember=remember), answer
+        )
 
 
 def virtual(work, outside: Outside | None = None) -> None:
@@ -254,7 +256,7 @@
     asyncio.run(run())
 
 
-def load(life: Life, first: int, count: int, size: int = 300, remember: bool = False) -> None:
+def load(life: SimulatedProcess, first: int, count: int, size: int = 300, remember: bool = False) -> None:
     """Messages of both classes, some together, over a second or so."""
     for number in range(first, first + count):
         life.offer(b"m%d" % number, ("note", "pay")[number % 2], bytes(size), remember)
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -9,9 +9,10 @@
 from test_fronts_cloudevents import RULES, Browser
 from test_node import Bench
 
+from rushhitch.acceptor import Acknowledgement, Submission, Verdict
 from rushhitch.cloudevents.events import BadEvent, Event
 from rushhitch.cloudevents.mapping import Acks, Rules, acknowledgement, identity
-from rushhitch.core.acknowledgements import ACKNOWLEDGED, DIFFERS, LATE, UNKNOWN, Effect, Past, effect
+from rushhitch.core.acknowledgements import ACKNOWLEDGED, DIFFERS, LATE, UNKNOWN, Effect, EndHistory, effect
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.fronts.cloudevents import front
@@ -20,7 +21,6 @@
 from rushhitch.journal import Journal
 from rushhitch.journal.inspect import table
 from rushhitch.partners.cloudevents import CloudEvents
-from rushhitch.taker import Acknowledgement, Offer, Verdict
 
 TYPES = {"org.bank.done": Verdict.DELIVERED, "org.bank.broke": Verdict.RAN, "org.bank.never": Verdict.NOT_RUN}
 DONE, BROKE, NEVER = TYPES
@@ -76,7 +76,7 @@
 
 
 def test_for_what_is_over_it_hears_whether_it_says_the_same_until_that_is_forgotten():
-    past = Past(2)
+    past = EndHistory(2)
     past.add(b"m1", "delivered", 100.0)
     assert past.answer(told(Verdict.DELIVERED), 99.0) is ACKNOWLEDGED
     assert past.answer(told(Verdict.RAN), 99.0) is DIFFERS
@@ -127,8 +127,8 @@
 
     async def open(self, node):
         self.node = node
-        node.listing.codecs = {7: CloudEvents("binary", "/rushhitch", {}, acknowledged=True)}
-        node.listing.take({"version": 42, "full": False, "servers": [self.row]})
+        node.registry.codecs = {7: CloudEvents("binary", "/rushhitch", {}, acknowledged=True)}
+        node.registry.apply_update({"version": 42, "full": False, "servers": [self.row]})
         self.clients = Clients(node, 16)
         self.http = self.clients.listen(("127.0.0.1", 0), "cloudevents", front(WITH_ACKS))
         self.resp2 = self.clients.listen(("127.0.0.1", 0), "resp2", Resp2)
@@ -146,7 +146,7 @@
         resume(node)
 
     def post(self, cls="pay", name=b"m1", left_ms=6000.0, key=0):
-        self.offer(Offer(name, cls, 7, left_ms, b"hello", key))
+        self.offer(Submission(name, cls, 7, left_ms, b"hello", key))
 
     async def acknowledge(self, kind=DONE, **changes):
         """The status and state that an acknowledgement is answered with."""
@@ -298,7 +298,9 @@
 def test_one_for_a_message_that_was_never_sent_is_told_so(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
-        bank.node.listing.take({"version": 43, "full": False, "servers": [bank.row | {"state": "DRAINING"}]})
+        bank.node.registry.apply_update(
+            {"version": 43, "full": False, "servers": [bank.row | {"state": "DRAINING"}]}
+        )
         bank.post()
         await bank.answers.get()
         assert await bank.acknowledge() == (404, "unknown")
@@ -372,7 +374,7 @@
     classes = tuple(replace(cls, in_order=cls.name == "pay") for cls in bank.node.settings.classes)
     settings = replace(bank.node.settings, classes=classes)
     bank.node.settings, bank.node.dispatcher = settings, type(bank.node.dispatcher)(settings, 1)
-    bank.node.listing.take({"version": 42, "full": True, "servers": [bank.row]})
+    bank.node.registry.apply_update({"version": 42, "full": True, "servers": [bank.row]})
 
 
 @pytest.mark.parametrize(("kind", "then"), [(DONE, "m2"), (NEVER, "m1"), (BROKE, "m2")])
--- a/tests/test_acknowledgements_crash.py
+++ b/tests/test_acknowledgements_crash.py
@@ -2,13 +2,13 @@
 kept for ever, whatever the bank says twice or to a process that knows nothing of it."""
 
 import pytest
-from lives import CALL_S, Life, Partner, load, settle, virtual
+from process_harness import CALL_S, Partner, SimulatedProcess, load, settle, virtual
 
 from crowpier.interface import Outcome
 from lab.disk import HOWS, CountingFiles, Crash, CrashingFiles
+from rushhitch.acceptor import Acknowledgement, Verdict
 from rushhitch.endpoints import Result
 from rushhitch.partners.cloudevents import CloudEvents
-from rushhitch.taker import Acknowledgement, Verdict
 
 DISK = 400_000.0
 MESSAGES = 16
@@ -40,7 +40,7 @@
         self.said.add(mark)
 
         def heard(reply):
-            if reply.what == "refused":
+            if reply.status == "refused":
                 self.outside.time.call_later(AGAIN_S, self.say, name, verdict, mark)
                 return
             self.words.pop(mark, None)
@@ -67,7 +67,7 @@
         self.outside.bank.owe(name, verdict, b"%s %d" % (name, nth))
 
 
-class AckLife(Life):
+class AckLife(SimulatedProcess):
     partner = Acknowledging
     codecs = {7: CloudEvents("binary", "/rushhitch", {}, acknowledged=True)}
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -10,11 +10,11 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import parse_settings
 from crowpier.interface import MessageAccepted
+from rushhitch.acceptor import BadRequest, Submission
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.journal import Journal, Kept
 from rushhitch.journal import format as form
-from rushhitch.taker import BadRequest, Offer
 
 BERTH = {"name": "berth", "effect": "by_key", "group": "zone", "windowMs": 900.0} | WORTH
 BERTH |= {"aimMs": 350.0, "hardLimitMs": 6000.0}
@@ -79,7 +79,7 @@
     told = json.loads(json.dumps(TOLD)) | {"categories": [BERTH], "tenants": TENANTS}
     settings = parse_settings(json.dumps(told).encode())
     node = Node(settings, Dispatcher(settings, 1), Journal(tmp_path, 3e6), lambda *end: None)
-    node.listing.destinations[7] = 0.0
+    node.registry.destinations[7] = 0.0
     node.note = heard.append
     return node
 
@@ -90,10 +90,12 @@
         heard = []
         node = node_of(tmp_path, heard)
         for number, tenant in enumerate(("consorzio", "comune", "")):
-            node.offer(Offer(b"m%d" % number, "berth", 7, 1000.0, b"", tenant=tenant), lambda reply: None)
+            node.offer(
+                Submission(b"m%d" % number, "berth", 7, 1000.0, b"", tenant=tenant), lambda reply: None
+            )
         assert [event.tenant for event in heard if isinstance(event, MessageAccepted)] == [0, 1, 2]
         with pytest.raises(BadRequest, match="unknown tenant 'duomo'"):
-            node.offer(Offer(b"m9", "berth", 7, 1000.0, b"", tenant="duomo"), lambda reply: None)
+            node.offer(Submission(b"m9", "berth", 7, 1000.0, b"", tenant="duomo"), lambda reply: None)
         node.journal.close()
 
     run(work())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,11 +16,11 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import parse_settings
 from crowpier.interface import Entry, MessageAccepted, Outcome
+from rushhitch.acceptor import Submission
 from rushhitch.connection import Connection
 from rushhitch.core.node import Node
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.journal import Journal
-from rushhitch.taker import Offer
 
 SYN_SENT = "02"  # of a connection in /proc/net/tcp
 
@@ -338,9 +338,9 @@
     listener.setblocking(False)
     row = {"id": "e1", "addr": "{}:{}".format(*listener.getsockname()), "zone": "a", "kind": "firms"}
     row |= {"cell": 7, "state": "SERVING", "weight": 1.0, "started_ms": 0}
-    node.listing.take({"version": 41, "full": True, "servers": [row]}, cached=True)
+    node.registry.apply_update({"version": 41, "full": True, "servers": [row]}, cached=True)
     for number in range(batch):
-        node.offer(Offer(b"m%d" % number, "pay", 7, 9000.0, b"x"), lambda reply: None)
+        node.offer(Submission(b"m%d" % number, "pay", 7, 9000.0, b"x"), lambda reply: None)
     loop = asyncio.get_running_loop()
     partner, _ = await loop.sock_accept(listener)
     while node.endpoints.written < batch:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -11,17 +11,17 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import parse_settings
 from crowpier.interface import ColdStateRestored, EndpointListReceived, ListKind, MessageAccepted, State
+from rushhitch.acceptor import ACCEPTED, Reply, Submission
 from rushhitch.control.bans import Bans
-from rushhitch.core import listing
+from rushhitch.core import endpoint_registry
 from rushhitch.core import node as node_module
 from rushhitch.core.messages import BUSY_MS
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.journal import Journal
 from rushhitch.journal.files import Files
-from rushhitch.taker import TAKEN, Offer, Reply
 
-OFFER = Offer(b"m1", "note", 7, 6000.0, b"hello")
+OFFER = Submission(b"m1", "note", 7, 6000.0, b"hello")
 
 
 class Bench:
@@ -41,7 +41,7 @@
         )
         self.node.bans = Bans(self.journal)
         self.row = config["known"]["servers"][0]
-        self.node.listing.take(config["known"], cached=True)
+        self.node.registry.apply_update(config["known"], cached=True)
         resume(self.node)
         return self
 
@@ -53,7 +53,7 @@
         peer = await Peer().start()
         addr = "{}:{}".format(*peer.address)
         row = self.row | {"id": endpoint, "addr": addr, "cell": destination}
-        self.node.listing.take({"version": 42, "full": False, "servers": [row]})
+        self.node.registry.apply_update({"version": 42, "full": False, "servers": [row]})
         return peer
 
 
@@ -76,8 +76,8 @@
 
     @with_bench(tmp_path)
     async def _(bench):
-        bench.offer(Offer(b"m1", "note", 7, 50.0, b""))
-        assert await bench.answers.get() == TAKEN
+        bench.offer(Submission(b"m1", "note", 7, 50.0, b""))
+        assert await bench.answers.get() == ACCEPTED
         assert await bench.ends.get() == (1, b"m1", "dead", 0.0)
         assert bench.node.idle.is_set()
 
@@ -88,7 +88,7 @@
     # so that the delivery counts for nothing and no notice would come; or it was not, and its end is told.
     @with_bench(tmp_path)
     async def _(bench):
-        bench.offer(Offer(b"m1", cls, 7, 1000.0, b""))
+        bench.offer(Submission(b"m1", cls, 7, 1000.0, b""))
         request = await bench.partner.next()
         (call,) = bench.node.endpoints.calls.values()
         call.first_due = bench.node.loop.time() + node_module.ANSWER_MARGIN_S / 2.0
@@ -102,7 +102,7 @@
     # A shorter wait gave up calls of messages with little time, and with them all that shared these calls.
     @with_bench(tmp_path)
     async def _(bench):
-        bench.offer(Offer(b"m1", "note", 7, 700.0, b""))
+        bench.offer(Submission(b"m1", "note", 7, 700.0, b""))
         await bench.partner.next()
         message = bench.node.messages[1]
         (call,) = bench.node.endpoints.calls.values()
@@ -119,9 +119,9 @@
         with monkeypatch.context() as patch:
             patch.setattr(Dispatcher, "handle", broken)
             bench.offer()
-            assert (await bench.answers.get()).what == "refused"
-        bench.offer(Offer(b"m2", "note", 7, 6000.0, b""))
-        assert await bench.answers.get() == TAKEN
+            assert (await bench.answers.get()).status == "refused"
+        bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
+        assert await bench.answers.get() == ACCEPTED
 
     assert "Traceback" in caplog.text and "a fault of our own" in caplog.text
 
@@ -135,11 +135,11 @@
         with monkeypatch.context() as patch:
             patch.setattr(Files, "write", lambda files, fd, data: full(fd, data))
             bench.offer()
-            assert (await bench.answers.get()).what == "refused"
+            assert (await bench.answers.get()).status == "refused"
             assert bench.partner.requests.empty()
         bench.journal.reserve_due = 0.0
-        bench.offer(Offer(b"m2", "note", 7, 6000.0, b""))
-        assert await bench.answers.get() == TAKEN
+        bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
+        assert await bench.answers.get() == ACCEPTED
         assert (await bench.partner.next()).headers["x-correlation-id"] == "m2"
 
 
@@ -147,9 +147,9 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer()
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         bench.offer()
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         assert len(bench.node.by_id) == 1
 
 
@@ -179,7 +179,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         for number in range(bench.node.settings.max_held + 1):
-            bench.offer(Offer(b"m%d" % number, "note", 7, 6000.0, b""))
+            bench.offer(Submission(b"m%d" % number, "note", 7, 6000.0, b""))
         assert await bench.answers.get() == Reply("refused", BUSY_MS)
 
 
@@ -187,8 +187,10 @@
     @with_bench(tmp_path)
     async def _(bench):
         rows = [bench.row | {"id": "e2", "kind": "unheard"}, bench.row | {"id": "e3", "addr": "nowhere"}]
-        bench.node.listing.take({"version": 42, "servers": [*rows, {"id": "e1", "state": "DELETED"}]})
-        assert not bench.node.listing.entries and not bench.node.endpoints.entries
+        bench.node.registry.apply_update(
+            {"version": 42, "servers": [*rows, {"id": "e1", "state": "DELETED"}]}
+        )
+        assert not bench.node.registry.entries and not bench.node.endpoints.entries
 
     assert caplog.text.count("an entry is left out") == 2
 
@@ -209,22 +211,22 @@
     @with_bench(tmp_path)
     async def _(bench):
         told = []
-        bench.node.listing.note = told.append
-        bench.node.listing.take({"version": 42, "full": True, "servers": [bench.row | spoilt]})
+        bench.node.registry.note = told.append
+        bench.node.registry.apply_update({"version": 42, "full": True, "servers": [bench.row | spoilt]})
         (entry,) = told[-1].entries
         assert (entry.endpoint, entry.state) == ("e1", state)
         if state is State.GONE:
             assert "e1" not in bench.node.endpoints.entries
         else:
             assert bench.node.endpoints.entries["e1"].state is state
-            assert bench.node.listing.entries["e1"].state is state
+            assert bench.node.registry.entries["e1"].state is state
 
 
 @pytest.mark.parametrize("full", [True, False])
 def test_what_a_whole_list_leaves_out_is_gone(tmp_path, full):
     @with_bench(tmp_path)
     async def _(bench):
-        bench.node.listing.take({"version": 42, "full": full, "servers": [bench.row | {"id": "e2"}]})
+        bench.node.registry.apply_update({"version": 42, "full": full, "servers": [bench.row | {"id": "e2"}]})
         assert ("e1" in bench.node.endpoints.entries) is not full
 
 
@@ -241,7 +243,7 @@
 
 def test_nothing_grows_where_endpoints_ids_and_keys_are_ever_new(tmp_path, monkeypatch):
     # Guards against memory that grows with each endpoint and message that has ever been.
-    monkeypatch.setattr(listing, "LINGER_S", 0.0)
+    monkeypatch.setattr(endpoint_registry, "LINGER_S", 0.0)
 
     @with_bench(tmp_path)
     async def _(bench):
@@ -249,11 +251,11 @@
             full = number % 2 == 0  # the one before is left out, or said to be deleted
             row = bench.row | {"id": f"n{number}", "cell": 1000 + number}
             gone = [] if full else [{"id": f"n{number - 1}", "state": "DELETED"}]
-            bench.node.listing.take({"version": number, "full": full, "servers": [row, *gone]})
+            bench.node.registry.apply_update({"version": number, "full": full, "servers": [row, *gone]})
             bench.journal.chill(f"n{number}", 1.0)
-            bench.offer(Offer(b"m%d" % number, "note", 1000 + number, 6000.0, b"", key=number + 1))
+            bench.offer(Submission(b"m%d" % number, "note", 1000 + number, 6000.0, b"", key=number + 1))
             bench.node.turn()
-            assert await bench.answers.get() == TAKEN
+            assert await bench.answers.get() == ACCEPTED
             (await bench.partner.next()).answer(200)
             while bench.node.by_id:
                 await asyncio.sleep(0)
@@ -292,9 +294,9 @@
     @with_bench(tmp_path)
     async def _(bench):
         pool, decisions = bench.node.endpoints, bench.node.dispatcher
-        bench.offer(Offer(b"m1", "note", 7, 500.0 if what == "time-out" else 6000.0, b""))
+        bench.offer(Submission(b"m1", "note", 7, 500.0 if what == "time-out" else 6000.0, b""))
         first = await bench.partner.next()
-        bench.offer(Offer(b"m2", "note", 7, 6000.0, b""))
+        bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
         second = await bench.partner.next()
         believed, held = believed_and_held(bench)
         assert believed == held == ({"e1": (2, 0)}, 2)
@@ -320,9 +322,11 @@
                     await asyncio.sleep(0.01)
                     bench.node.turn()
             case "move":
-                bench.node.listing.take({"version": 42, "servers": [bench.row | {"addr": "127.0.0.1:9"}]})
+                bench.node.registry.apply_update(
+                    {"version": 42, "servers": [bench.row | {"addr": "127.0.0.1:9"}]}
+                )
             case "removal":
-                bench.node.listing.take({"version": 42, "full": True, "servers": []})
+                bench.node.registry.apply_update({"version": 42, "full": True, "servers": []})
                 first.answer(200)
         while bench.node.gathering or len(set(map(str, believed_and_held(bench)))) > 1:
             await asyncio.sleep(0.001)
@@ -334,12 +338,12 @@
     async def _(bench):
         hung = [bench.partner, await bench.add("e2", destination=8)]
         for destination in (7, 8):
-            bench.offer(Offer(b"first%d" % destination, "note", destination, 6000.0, b""))
+            bench.offer(Submission(b"first%d" % destination, "note", destination, 6000.0, b""))
         calls = [await peer.next() for peer in hung]
         well = [await bench.add("e3"), await bench.add("e4", destination=8)]
         for name, rest in ((b"soon", 0.5), (b"late", 0.0)):  # longer than twice a usual call
             for destination, peer in zip((7, 8), well, strict=True):
-                bench.offer(Offer(b"%s%d" % (name, destination), "note", destination, 6000.0, b""))
+                bench.offer(Submission(b"%s%d" % (name, destination), "note", destination, 6000.0, b""))
                 (await peer.next()).answer(200)
             await asyncio.sleep(rest)
         assert not any(call.over.is_set() for call in calls)  # these still hang
@@ -355,14 +359,14 @@
         time = bench.node.loop.time
         bench.node.loop.time = lambda: time() + 8.0
         for number in range(8):
-            bench.offer(Offer(b"next%d" % number, "note", 7, 6000.0, b""))
+            bench.offer(Submission(b"next%d" % number, "note", 7, 6000.0, b""))
         await bench.partner.next()
         assert len(bench.node.endpoints.calls) == 8
 
 
 async def served(bench, count):
     for _ in range(count):
-        bench.offer(Offer(b"well%d" % bench.node.numbers, "note", 7, 6000.0, b""))
+        bench.offer(Submission(b"well%d" % bench.node.numbers, "note", 7, 6000.0, b""))
         (await bench.partner.next()).answer(200)
 
 
@@ -376,7 +380,7 @@
         bench.journal.warm = warmed.put_nowait
         await served(bench, 3)
         while not chilled:
-            bench.offer(Offer(b"lost%d" % bench.node.numbers, "pay", 7, 24000.0, b""))
+            bench.offer(Submission(b"lost%d" % bench.node.numbers, "pay", 7, 24000.0, b""))
             (await bench.partner.next()).reset()
             await bench.ends.get()
         await served(bench, 1)
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -13,13 +13,13 @@
 from crowpier import Dispatcher
 from crowpier.interface import Outcome
 from rushhitch import connection
+from rushhitch.acceptor import ACCEPTED, Submission
 from rushhitch.core.messages import InheritedAttempt
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.journal import Journal
 from rushhitch.journal.files import Files
-from rushhitch.taker import TAKEN, Offer
 
 CLIENTS = 18
 SOON_S = 2.0  # far below the time that a message has here
@@ -204,8 +204,8 @@
 
     @with_bench(tmp_path)
     async def _(bench):
-        bench.node.offer(Offer(b"m1", "pay", 7, 6000.0, b"hello"), bench.answers.put_nowait)
-        assert await bench.answers.get() == TAKEN
+        bench.node.offer(Submission(b"m1", "pay", 7, 6000.0, b"hello"), bench.answers.put_nowait)
+        assert await bench.answers.get() == ACCEPTED
         while bench.partner.connections == 0:
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.05)
@@ -272,8 +272,8 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.offer(OFFER, lambda reply: False)
-        bench.node.offer(Offer(b"m2", "note", 7, 6000.0, b"hello"), bench.answers.put_nowait)
-        assert await bench.answers.get() == TAKEN
+        bench.node.offer(Submission(b"m2", "note", 7, 6000.0, b"hello"), bench.answers.put_nowait)
+        assert await bench.answers.get() == ACCEPTED
         assert (await bench.partner.next()).headers["x-correlation-id"] == "m2"
         assert bench.partner.requests.empty()
         assert [kept.id for kept in bench.journal.live.values()] == [b"m2"]
@@ -283,7 +283,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.offer(OFFER, bench.answers.put_nowait, reachable=lambda: False)
-        assert (await bench.answers.get()).what == "refused"
+        assert (await bench.answers.get()).status == "refused"
         assert not bench.journal.live and bench.partner.requests.empty()
 
 
@@ -301,8 +301,10 @@
 
         monkeypatch.setattr(Files, "write", fails)
         for number in range(3):
-            bench.node.offer(Offer(b"m%d" % number, "pay", 7, 6000.0, b"hello"), bench.answers.put_nowait)
-        assert [(await bench.answers.get()).what for _ in range(3)] == ["refused"] * 3
+            bench.node.offer(
+                Submission(b"m%d" % number, "pay", 7, 6000.0, b"hello"), bench.answers.put_nowait
+            )
+        assert [(await bench.answers.get()).status for _ in range(3)] == ["refused"] * 3
         failing[0] = False
         bench.node.commit()
         assert not Journal(tmp_path / "state", 3e6, writable=False).live
@@ -313,8 +315,8 @@
     # Before, a kill could make the next process send what was told as ended; afterwards it sends nothing.
     @with_bench(tmp_path)
     async def _(bench):
-        bench.node.offer(Offer(b"m1", "pay", 7, 700.0, b"hello"), bench.answers.put_nowait)
-        assert await bench.answers.get() == TAKEN
+        bench.node.offer(Submission(b"m1", "pay", 7, 700.0, b"hello"), bench.answers.put_nowait)
+        assert await bench.answers.get() == ACCEPTED
         request = await bench.partner.next()
         started = asyncio.get_running_loop().time()
 
@@ -342,7 +344,7 @@
             bench.journal,
             lambda *end: bench.ends.put_nowait(end),
         )
-        bench.node.listing.take({"version": 41, "full": True, "servers": [bench.row]}, cached=True)
+        bench.node.registry.apply_update({"version": 41, "full": True, "servers": [bench.row]}, cached=True)
         resume(bench.node)
         (await bench.partner.next()).answer(410)
         async with asyncio.timeout(SOON_S):
@@ -353,7 +355,7 @@
     # Guards against two ends for one message: after a kill, its attempt has no outcome and may have run.
     @with_bench(tmp_path)
     async def _(bench):
-        bench.offer(Offer(b"m1", "pay", 7, 700.0, b""))
+        bench.offer(Submission(b"m1", "pay", 7, 700.0, b""))
         request = await bench.partner.next()
 
         def no_room(self, fd, data):
@@ -369,7 +371,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.inherited[9, 0] = InheritedAttempt(9, 0, "e1", 1, 0.0, 0.0)
-        StateTransfer(bench.node).loan_ended(9, 0, Outcome.FULL, wait_ms=5_000.0)
+        StateTransfer(bench.node).inherited_attempt_ended(9, 0, Outcome.FULL, wait_ms=5_000.0)
         lane = bench.node.endpoints.entries["e1"].lane
         assert bench.node.endpoints.waits[lane] > bench.node.loop.time() + 4.0
 
@@ -380,19 +382,19 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer()
-        assert await bench.answers.get() == TAKEN
+        assert await bench.answers.get() == ACCEPTED
         if called:
             request = await bench.partner.next()
         bench.node.abandon(1, "its client's connection broke")
         bench.offer()
         if called:  # its end is owed still
-            assert await bench.answers.get() == TAKEN
+            assert await bench.answers.get() == ACCEPTED
             request.answer(500)
             assert (await bench.ends.get())[2] == "dead"
             bench.offer()
-            assert (await bench.answers.get()).what == "failed"
+            assert (await bench.answers.get()).status == "failed"
         else:
-            assert (await bench.answers.get()).what == "refused"
+            assert (await bench.answers.get()).status == "refused"
             assert (await bench.ends.get())[2] == "bounced"
         await asyncio.sleep(QUIET_S / 4.0)
         assert bench.partner.requests.empty()
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -15,12 +15,12 @@
 from test_node import with_bench
 
 from lab.addresses import free_address
-from rushhitch.core.operators import Operators
+from rushhitch.acceptor import ACCEPTED, Submission
+from rushhitch.core.operator_commands import OperatorCommands
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.succession import channel as channels
 from rushhitch.succession.channel import Channel
 from rushhitch.succession.states import VERSION, Do, Incumbent, New, Old, Successor
-from rushhitch.taker import TAKEN, Offer
 
 
 class Upgrades(RuleBasedStateMachine):
@@ -499,21 +499,21 @@
         request = await bench.partner.next()
         assert await StateTransfer(bench.node).freeze()
         results, abandoned = [], []
-        lock, told = StateTransfer(bench.node).yield_all(
+        lock, told = StateTransfer(bench.node).relinquish(
             results.append, lambda message, why: abandoned.append(message)
         )
         held = {path: path.read_bytes() for path in (tmp_path / "state").iterdir() if path.is_file()}
         assert [loan[:3] for loan in told["loans"]] == [(1, 0, "e1")]
-        bench.node.offer(Offer(b"m2", "note", 7, 6000.0, b""), bench.answers.put_nowait)
+        bench.node.offer(Submission(b"m2", "note", 7, 6000.0, b""), bench.answers.put_nowait)
         bench.node.withdraw(1)
         bench.node.abandon(1, "its client has gone")
         assert abandoned == [1]
-        bench.node.listing.take({"version": 50, "full": False, "servers": [bench.row]})
+        bench.node.registry.apply_update({"version": 50, "full": False, "servers": [bench.row]})
         bench.node.turn()
         request.answer(200)
         await until(lambda: results)
-        assert results[0].over and Operators(bench.node).info()["inflight"] == 0
-        assert (await bench.answers.get()) == TAKEN and (await bench.answers.get()).what == "refused"
+        assert results[0].over and OperatorCommands(bench.node).info()["inflight"] == 0
+        assert (await bench.answers.get()) == ACCEPTED and (await bench.answers.get()).what == "refused"
         assert held == {path: path.read_bytes() for path in (tmp_path / "state").iterdir() if path.is_file()}
         os.close(lock)
 
