--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -34,7 +34,7 @@
 
 
 def kept(module: Any, number: int) -> Any:
-    return module.Kept(number, b"%016x" % number, "payment-order", 7, 2_000_000_000.0, BODY)
+    return module.JournalEntry(number, b"%016x" % number, "payment-order", 7, 2_000_000_000.0, BODY)
 
 
 def lives(module: Any, count: int) -> tuple[float, float]:
--- a/benchmarks/json_journal.py
+++ b/benchmarks/json_journal.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class JournalEntry:
     """A message that was taken on and is not over, as far as the journal knows."""
 
     number: int  # never used twice while the journal lasts: an id may be, when its first message has ended
@@ -56,7 +56,7 @@
     def __init__(self, folder: Path, disk_bytes: float) -> None:
         self.path, self.draft = folder / "journal", folder / "journal.new"
         self.disk_bytes = disk_bytes
-        self.live: dict[int, Kept] = {}
+        self.live: dict[int, JournalEntry] = {}
         self.cold: dict[str, float] = {}  # endpoints in or after an outage, and the pace they took before
         self.live_bytes = 0
         self.lines: list[bytes] = []
@@ -67,7 +67,7 @@
 
     # What can happen to a message. Nothing is on disk before `flush`.
 
-    def take(self, kept: Kept) -> None:
+    def take(self, kept: JournalEntry) -> None:
         self.lines.append(self.line(*self.taken(kept)))
         self.keep(kept)
 
@@ -116,7 +116,7 @@
     # Records
 
     @staticmethod
-    def taken(kept: Kept) -> tuple[Any, ...]:
+    def taken(kept: JournalEntry) -> tuple[Any, ...]:
         name, body = kept.id.decode("latin-1"), base64.b64encode(kept.body).decode()
         told = (name, kept.cls, kept.destination, kept.deadline, kept.key, kept.again, body)
         return "take", kept.number, *told
@@ -137,7 +137,7 @@
         self.lines.append(self.line(*record))
         self.apply(*record)
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: JournalEntry) -> None:
         self.live[kept.number] = kept
         self.live_bytes += kept.size
 
@@ -152,7 +152,9 @@
         if what == "take":
             name, cls, destination, deadline, key, again, body = rest
             body = base64.b64decode(body)
-            self.keep(Kept(subject, name.encode("latin-1"), cls, destination, deadline, body, key, again))
+            self.keep(
+                JournalEntry(subject, name.encode("latin-1"), cls, destination, deadline, body, key, again)
+            )
             return
         kept = self.live[subject]
         if what == "try":
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -19,7 +19,7 @@
 from benchmarks.report import Figure, finish, main_of
 from benchmarks.throughput import scenario
 from lab import report
-from rushhitch.journal import Journal, Kept
+from rushhitch.journal import Journal, JournalEntry
 
 AIM_S = 10.0  # nine in ten restarted dispatchers are ready by then
 SHARE = 0.1  # of a core: what a dispatcher may have where many share one
@@ -77,7 +77,9 @@
     body = BODY if held is not None else 0
     while len(journal.live) < most and journal.has_room(body):
         number = len(journal.live) + 1
-        message = Kept(number, b"%016x" % number, "note", number % 8, now + LEFT_S, bytes(body), taken_at=now)
+        message = JournalEntry(
+            number, b"%016x" % number, "note", number % 8, now + LEFT_S, bytes(body), taken_at=now
+        )
         journal.take(message)
         if number % 3 == 0:
             journal.attempt(number, 0, f"s-{number % ENDPOINTS}", now)
--- a/rushhitch/core/messages.py
+++ b/rushhitch/core/messages.py
@@ -7,7 +7,7 @@
 
 from rushhitch.core.lifecycle import Stage
 from rushhitch.endpoints import Result
-from rushhitch.journal import Kept
+from rushhitch.journal import JournalEntry
 from rushhitch.taker import (
     Answer,
     LookForClient,
@@ -48,7 +48,7 @@
     """A message of this process; `answer` is there until its client has been answered."""
 
     number: int
-    kept: Kept
+    kept: JournalEntry
     attempts: int
     due: float  # when its time is up, by the clock of the event loop, in seconds
     answer: Answer | None = None
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -29,7 +29,7 @@
 from rushhitch.core.request_log import FINAL_ANSWER, log_abandoned, log_refusal, log_step, log_untried_end
 from rushhitch.core.start_report import StartReport
 from rushhitch.endpoints import PLATFORM, EndpointPool, Result
-from rushhitch.journal import Journal, Kept
+from rushhitch.journal import Journal, JournalEntry
 from rushhitch.journal.commit import Committer
 from rushhitch.journal.space import RECORD_ROOM
 from rushhitch.partners.codec import Attempt, Codec
@@ -225,7 +225,7 @@
             answer(Reply("refused", BUSY_MS))
             return 0
         self.numbers += 1
-        kept = Kept(
+        kept = JournalEntry(
             self.numbers,
             offer.id,
             offer.cls,
@@ -273,7 +273,7 @@
             self.ahead_s = time.time() - self.loop.time()
         return self.loop.time() + self.ahead_s
 
-    def due_of(self, kept: Kept) -> float:
+    def due_of(self, kept: JournalEntry) -> float:
         """When the message's time is up, by the clock of the event loop."""
         return self.loop.time() + max(kept.deadline - self.steady(), 0.0)
 
@@ -281,7 +281,7 @@
         """A time of the event loop's clock as others read it now: Unix time in seconds."""
         return time.time() + due - self.loop.time()
 
-    def enter(self, kept: Kept, answer: Answer | None = None) -> Message:
+    def enter(self, kept: JournalEntry, answer: Answer | None = None) -> Message:
         due = self.due_of(kept)
         message = Message(kept.number, kept, kept.attempts, due, answer)
         if self.sinks is not None and self.sinks.named(kept.attributes):
@@ -391,7 +391,7 @@
         """Whether its answers may only say that an acknowledgement is to come."""
         return self.listing.codecs.get(destination, PLATFORM).later(ACCEPTED)
 
-    def ordered(self, kept: Kept) -> bool:
+    def ordered(self, kept: JournalEntry) -> bool:
         """Whether messages of its key go one after another."""
         if not kept.key:
             return False
@@ -781,11 +781,11 @@
         now = self.steady()
         most = self.settings.classes[self.classes[told.cls]].deadline_ms / 1000.0
         words = (told.id, told.cls, told.destination, now + most, told.body)
-        kept = Kept(self.numbers, *words, taken_at=now, attributes=told.attributes)
+        kept = JournalEntry(self.numbers, *words, taken_at=now, attributes=told.attributes)
         self.journal.take(kept)
         self.arrive(self.enter(kept))
 
-    def remember(self, kept: Kept, end: Reply) -> None:
+    def remember(self, kept: JournalEntry, end: Reply) -> None:
         """The journal keeps the message, without its body, until its identity may be forgotten."""
         self.ended.add(kept.id, End(kept.number, end, kept.deadline + self.keep_s))
         for number in self.ended.forget(self.steady()):
--- a/rushhitch/core/resumption.py
+++ b/rushhitch/core/resumption.py
@@ -10,7 +10,7 @@
 from rushhitch.core.messages import BUSY_MS, InheritedAttempt, PendingNotice
 from rushhitch.core.node import Node
 from rushhitch.core.start_report import Found, found
-from rushhitch.journal import Kept
+from rushhitch.journal import JournalEntry
 from rushhitch.taker import DELIVERED, FAILED, Reply
 
 log = logging.getLogger(__name__)
@@ -53,7 +53,7 @@
     return inherited
 
 
-def go_on(node: Node, kept: Kept, state: Found, loans: list[InheritedAttempt]) -> None:
+def go_on(node: Node, kept: JournalEntry, state: Found, loans: list[InheritedAttempt]) -> None:
     """What becomes of one message, by the state in which it is found."""
     match state:
         case Found.IN_DOUBT:
@@ -72,7 +72,7 @@
             take_up(node, kept, loans)
 
 
-def take_up(node: Node, kept: Kept, loans: list[InheritedAttempt]) -> None:
+def take_up(node: Node, kept: JournalEntry, loans: list[InheritedAttempt]) -> None:
     """The message is open, and this process owes its end."""
     message = node.enter(kept)
     message.resumed = True
@@ -85,7 +85,7 @@
         node.arrive(message, untried=not kept.attempts)
 
 
-def end_at_start(node: Node, kept: Kept, end: Reply) -> None:
+def end_at_start(node: Node, kept: JournalEntry, end: Reply) -> None:
     """End by a notice what the process before this one left and this one does not go on with: its class
     is gone, or its client may not have heard that it is accepted and have handed it in anew."""
     result = "dead" if end is FAILED else "bounced"
--- a/rushhitch/core/start_report.py
+++ b/rushhitch/core/start_report.py
@@ -8,7 +8,7 @@
 from collections.abc import Container
 from enum import Enum
 
-from rushhitch.journal import Kept
+from rushhitch.journal import JournalEntry
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
     CLASS_GONE = "class_gone"  # failed: the settings have no such class any more
 
 
-def found(kept: Kept, now: float, in_doubt: Container[int]) -> Found:
+def found(kept: JournalEntry, now: float, in_doubt: Container[int]) -> Found:
     """The state of a message; `now` by the steady clock, `in_doubt` the numbers of those that are so."""
     if kept.number in in_doubt:
         return Found.IN_DOUBT
@@ -43,9 +43,9 @@
     """Collects what a start finds and tells it in two lines of the log."""
 
     def __init__(self) -> None:
-        self.messages: defaultdict[Found, list[Kept]] = defaultdict(list)
+        self.messages: defaultdict[Found, list[JournalEntry]] = defaultdict(list)
 
-    def add(self, kept: Kept, state: Found) -> None:
+    def add(self, kept: JournalEntry, state: Found) -> None:
         self.messages[state].append(kept)
 
     def counts(self) -> dict[str, int]:
@@ -60,7 +60,7 @@
         log.info("messages found by the start", extra=named)
 
 
-def names(messages: list[Kept]) -> str:
+def names(messages: list[JournalEntry]) -> str:
     told = [f"{kept.number}:{kept.id.decode('latin-1')}" for kept in messages[:MOST_NAMED]]
     if len(messages) > MOST_NAMED:
         told.append(f"and {len(messages) - MOST_NAMED} more")
--- a/rushhitch/journal/acceptance.py
+++ b/rushhitch/journal/acceptance.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from rushhitch.journal.answers import Answered, Marks
-from rushhitch.journal.format import Kept
+from rushhitch.journal.format import JournalEntry
 
 
 @dataclass(slots=True)
@@ -66,7 +66,7 @@
         self.damaged |= set(self.offered)
         self.offered.clear()
 
-    def settle(self, live: Mapping[int, Kept], marks: Marks | None, boot: bytes) -> Settled:
+    def settle(self, live: Mapping[int, JournalEntry], marks: Marks | None, boot: bytes) -> Settled:
         """What became of them; `boot` marks the present run of the machine, zeros where that is not known."""
         settled = Settled()
         same_run = any(boot)
--- a/rushhitch/journal/format.py
+++ b/rushhitch/journal/format.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class JournalEntry:
     """A message that was taken on and is not over, as far as the journal knows."""
 
     number: int  # never used twice while the journal lasts: an id may be, when its first message has ended
@@ -114,7 +114,7 @@
     return hashlib.blake2b(boot.encode(), digest_size=BOOT_SIZE).digest() if boot else bytes(BOOT_SIZE)
 
 
-def message_payload(kept: Kept, early: bool = False) -> bytes:
+def message_payload(kept: JournalEntry, early: bool = False) -> bytes:
     """All that is known of a message; `early`, while its client has no answer."""
     cls, extra = kept.cls.encode(), b""
     flags = (AGAIN if kept.again else 0) | (REMEMBERED if kept.remember else 0) | (EARLY if early else 0)
@@ -152,7 +152,7 @@
     return MESSAGE_HEAD.unpack_from(payload)[5] & EARLY > 0
 
 
-def read_message(payload: bytes, classes: dict[bytes, str]) -> Kept:
+def read_message(payload: bytes, classes: dict[bytes, str]) -> JournalEntry:
     """The message of a record; `classes` keeps one string for each class's name."""
     number, deadline, taken_at, destination, attempts, flags, id_size, cls_size = MESSAGE_HEAD.unpack_from(
         payload
@@ -187,7 +187,7 @@
         at += LENGTH.size
         attributes, at = payload[at : at + size], at + size
     again = flags & AGAIN > 0
-    return Kept(
+    return JournalEntry(
         number,
         name,
         known,
--- a/rushhitch/journal/inspect.py
+++ b/rushhitch/journal/inspect.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rushhitch.journal.format import Kept
+from rushhitch.journal.format import JournalEntry
 from rushhitch.journal.replay import Report
 from rushhitch.journal.store import Journal
 
@@ -19,7 +19,7 @@
     return f"{sign}{int(seconds // 3600)}h{int(seconds % 3600 // 60):02d}m"
 
 
-def owed(kept: Kept) -> str:
+def owed(kept: JournalEntry) -> str:
     if kept.notice is not None:
         result, wait = kept.notice
         if result in ("delivered", "failed"):
@@ -28,7 +28,7 @@
     return "its end"
 
 
-def tried(kept: Kept, now: float) -> str:
+def tried(kept: JournalEntry, now: float) -> str:
     if not kept.attempts:
         return "never"
     told = [f"{kept.attempts}x"]
--- a/rushhitch/journal/legacy.py
+++ b/rushhitch/journal/legacy.py
@@ -9,16 +9,16 @@
 import zlib
 from typing import Any
 
-from rushhitch.journal.format import Kept
+from rushhitch.journal.format import JournalEntry
 
 log = logging.getLogger(__name__)
 
 NAME, DRAFT = "journal", "journal.new"
 
 
-def read(data: bytes) -> tuple[dict[int, Kept], dict[str, float], int]:
+def read(data: bytes) -> tuple[dict[int, JournalEntry], dict[str, float], int]:
     """The live messages, the cold endpoints, and how many records were left out as unreadable."""
-    live: dict[int, Kept] = {}
+    live: dict[int, JournalEntry] = {}
     cold: dict[str, float] = {}
     bad = 0
     lines = data.split(b"\n")
@@ -41,7 +41,7 @@
     return json.loads(text)
 
 
-def apply(live: dict[int, Kept], cold: dict[str, float], what: str, subject: Any, *rest: Any) -> None:
+def apply(live: dict[int, JournalEntry], cold: dict[str, float], what: str, subject: Any, *rest: Any) -> None:
     if what == "cold":
         cold[subject] = float(rest[0])
     elif what == "warm":
@@ -49,7 +49,9 @@
     elif what == "take":
         name, cls, destination, deadline, key, again, body = rest
         body = base64.b64decode(body)
-        live[subject] = Kept(subject, name.encode("latin-1"), cls, destination, deadline, body, key, again)
+        live[subject] = JournalEntry(
+            subject, name.encode("latin-1"), cls, destination, deadline, body, key, again
+        )
     elif what == "try":
         number, endpoint, at = rest
         kept = live[subject]
--- a/rushhitch/journal/replay.py
+++ b/rushhitch/journal/replay.py
@@ -7,7 +7,7 @@
 from rushhitch.journal import format as form
 from rushhitch.journal.acceptance import Acceptances
 from rushhitch.journal.files import Files
-from rushhitch.journal.format import JournalError, Kept
+from rushhitch.journal.format import JournalEntry, JournalError
 from rushhitch.journal.segments import PREFIX, SUFFIX, Segment, warm_up
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self, files: Files) -> None:
         self.files = files
-        self.live: dict[int, Kept] = {}
+        self.live: dict[int, JournalEntry] = {}
         self.cold: dict[str, float] = {}
         self.cold_homes: dict[str, Segment] = {}
         self.segments: list[Segment] = []
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -26,7 +26,7 @@
 from rushhitch.journal.answers import AnswerFile, Marks, read_marks
 from rushhitch.journal.boot import boot_id
 from rushhitch.journal.files import BLOCK, Files, on_disk
-from rushhitch.journal.format import Held, Kept
+from rushhitch.journal.format import Held, JournalEntry
 from rushhitch.journal.replay import Replay, Report
 from rushhitch.journal.segments import PREFIX, Segment, warm_up
 from rushhitch.journal.space import RECORD_ROOM, Space
@@ -104,7 +104,7 @@
             self.files.lock_fd = lock
         self.space, self.sync, self.clock = Space(disk_bytes), sync, clock
         self.boot = form.boot_mark(boot_id() if boot is None else boot)
-        self.live: dict[int, Kept] = {}
+        self.live: dict[int, JournalEntry] = {}
         self.unaccepted: set[int] = set()  # of `live`: recorded, and not known to have been answered
         self.in_doubt: list[int] = []  # of these, as replay left them: their clients may have been answered
         self.marks: Marks | None = None  # what the answer file said at the start
@@ -125,7 +125,7 @@
         self.failing = False  # the disk did not take what was noted
         self.reserve = 0
         self.reserve_due = -float("inf")
-        self.dropped: list[Kept] = []  # by replay, since nobody was told that they are accepted
+        self.dropped: list[JournalEntry] = []  # by replay, since nobody was told that they are accepted
         self.aside: dict[str, int] = {}  # damaged files that were set aside, in whole blocks
         self.report = Report()
         if writable and not self.files.lock(LOCK):
@@ -164,14 +164,14 @@
 
     # What can happen to a message. Nothing is on disk before `flush`.
 
-    def take(self, kept: Kept) -> None:
+    def take(self, kept: JournalEntry) -> None:
         self.live[kept.number] = kept
         self.live_bytes += self.cost(kept)
         if kept.number > self.highest:
             self.highest = kept.number
         self.note(kept.number, form.MESSAGE, form.message_payload(kept))
 
-    def offer(self, kept: Kept) -> None:
+    def offer(self, kept: JournalEntry) -> None:
         """The message came in; its client has no answer yet. After a kill it is dropped."""
         self.unaccepted.add(kept.number)
         self.live[kept.number] = kept
@@ -198,7 +198,7 @@
             log.error("the journal's answers cannot be written: %s", error)
         self.unaccepted.discard(number)
 
-    def note_whole(self, kept: Kept) -> None:
+    def note_whole(self, kept: JournalEntry) -> None:
         """Note all that is known of a live message, in one record."""
         early = kept.number in self.unaccepted
         if early and self.sync is not Sync.NONE:
@@ -234,7 +234,7 @@
         self.ended(self.live[message], result, wait_ms)
         self.note(message, form.OWE, form.OWE_HEAD.pack(message, wait_ms) + result.encode())
 
-    def ended(self, kept: Kept, result: str, wait_ms: float) -> None:
+    def ended(self, kept: JournalEntry, result: str, wait_ms: float) -> None:
         self.live_bytes -= self.cost(kept)
         kept.notice, kept.body, kept.attributes = (result, wait_ms), b"", b""
         self.live_bytes += self.cost(kept)
@@ -288,7 +288,7 @@
     # Space
 
     @staticmethod
-    def cost(kept: Kept) -> int:
+    def cost(kept: JournalEntry) -> int:
         named = len(kept.tenant) + len(kept.idempotency)
         return RECORD_ROOM + named + len(kept.body) + len(kept.attributes)
 
@@ -786,6 +786,6 @@
         self.used -= on_disk(names[legacy.NAME])
         log.info("the journal of an earlier build was carried over: %d messages", len(self.live))
 
-    def messages(self) -> list[Kept]:
+    def messages(self) -> list[JournalEntry]:
         """What is live, in the order of taking: `live` has what compaction copied behind the rest."""
         return sorted(self.live.values(), key=lambda kept: kept.number)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rushhitch.journal import Journal, Kept
+from rushhitch.journal import Journal, JournalEntry
 from rushhitch.journal import format as form
 from rushhitch.journal.answers import NAME, SIZE, Answered, Marks, content, read_marks
 from rushhitch.journal.files import Files
@@ -14,7 +14,7 @@
 
 
 def kept(number):
-    return Kept(number, b"m%d" % number, "pay", 7, 2e9, b"a body", taken_at=1.9e9)
+    return JournalEntry(number, b"m%d" % number, "pay", 7, 2e9, b"a body", taken_at=1.9e9)
 
 
 def opened(folder, boot=BOOT, **told):
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -12,7 +12,7 @@
 from crowpier.interface import Arrived
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
-from rushhitch.journal import Journal, Kept
+from rushhitch.journal import Journal, JournalEntry
 from rushhitch.journal import format as form
 from rushhitch.taker import BadRequest, Offer
 
@@ -102,7 +102,7 @@
 def test_a_message_that_was_resumed_counts_against_its_tenant_again(tmp_path):
     async def work():
         journal = Journal(tmp_path, 3e6)
-        journal.take(Kept(1, b"m1", "berth", 7, 4e9, b"x", tenant="comune"))
+        journal.take(JournalEntry(1, b"m1", "berth", 7, 4e9, b"x", tenant="comune"))
         journal.flush()
         journal.close()
         heard = []
@@ -123,10 +123,13 @@
 
 
 def test_the_journal_keeps_tenant_and_key_and_an_older_build_passes_over_them():
-    message = Kept(1, b"m1", "berth", 7, 4e9, b"body", tenant="comune", idempotency=b"f59a")
+    message = JournalEntry(1, b"m1", "berth", 7, 4e9, b"body", tenant="comune", idempotency=b"f59a")
     read = form.read_message(form.message_payload(message), {})
     assert (read.tenant, read.idempotency, read.body) == ("comune", b"f59a", b"body")
-    assert form.read_message(form.message_payload(Kept(1, b"m1", "berth", 7, 4e9, b"body")), {}).tenant == ""
+    assert (
+        form.read_message(form.message_payload(JournalEntry(1, b"m1", "berth", 7, 4e9, b"body")), {}).tenant
+        == ""
+    )
     size = form.MESSAGE_HEAD.size + len(b"m1") + len("berth")
     payload = form.message_payload(message)
     (length,) = form.LENGTH.unpack_from(payload, size)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from lab.disk import CountingFiles, FailingFiles, FullFiles
-from rushhitch.journal import Journal, JournalError, Kept, Sync, store
+from rushhitch.journal import Journal, JournalEntry, JournalError, Sync, store
 from rushhitch.journal import format as form
 from rushhitch.journal.files import Files, on_disk
 
@@ -19,7 +19,9 @@
 
 
 def kept(number=1, body=b"\x00\r\n\xff"):
-    return Kept(number, b"m%d" % number, "pay", 7, 1_800_000_000.5, body, 3, True, taken_at=1_799_999_990.0)
+    return JournalEntry(
+        number, b"m%d" % number, "pay", 7, 1_800_000_000.5, body, 3, True, taken_at=1_799_999_990.0
+    )
 
 
 def opened(folder, **told):
@@ -511,7 +513,7 @@
     # Guards against a start that follows megabytes of small records, most of them of no use any more.
     journal = Journal(tmp_path, 16e6)
     for number in range(1, live + 1):
-        journal.take(Kept(number, b"m%d" % number, "note", 7, 4e9, b"x"))
+        journal.take(JournalEntry(number, b"m%d" % number, "note", 7, 4e9, b"x"))
     most = 0
     for turn in range(20_000):
         journal.attempt(turn % live + 1, turn, "e1", 1000.0)
--- a/tests/test_journal_cli.py
+++ b/tests/test_journal_cli.py
@@ -6,14 +6,16 @@
 from doubles import ROOT
 
 from rushhitch.cli import main
-from rushhitch.journal import Journal, Kept
+from rushhitch.journal import Journal, JournalEntry
 
 
 def journal_with(folder, *numbers):
     journal = Journal(folder, 1e6)
     for number in numbers:
         journal.take(
-            Kept(number, b"m%d" % number, "pay", 7, 2_000_000_000.0, b"body", taken_at=1_700_000_000.0)
+            JournalEntry(
+                number, b"m%d" % number, "pay", 7, 2_000_000_000.0, b"body", taken_at=1_700_000_000.0
+            )
         )
     journal.flush()
     return journal
--- a/tests/test_journal_sync.py
+++ b/tests/test_journal_sync.py
@@ -8,7 +8,7 @@
 from lives import Life, load, settle, virtual
 
 from lab.disk import HOWS, CountingFiles, Crash, CrashingFiles, PowerCutFiles
-from rushhitch.journal import Journal, Kept, Sync
+from rushhitch.journal import Journal, JournalEntry, Sync
 from rushhitch.journal.commit import Committer
 from rushhitch.journal.files import Files
 
@@ -16,7 +16,7 @@
 
 
 def kept(number, body=b"a body"):
-    return Kept(number, b"m%d" % number, "pay", 7, 1_900_000_000.0, body, taken_at=1_800_000_000.0)
+    return JournalEntry(number, b"m%d" % number, "pay", 7, 1_900_000_000.0, body, taken_at=1_800_000_000.0)
 
 
 class CutAt(PowerCutFiles):
