--- a/rushhitch/journal/__init__.py
+++ b/rushhitch/journal/__init__.py
@@ -1,6 +1,6 @@
 """What outlasts the process: a segmented, checksummed log of the messages that are not over."""
 
-from rushhitch.journal.format import Held, JournalEntry, JournalError
+from rushhitch.journal.format import FolderInUseError, JournalEntry, JournalError
 from rushhitch.journal.store import Journal, Sync
 
-__all__ = ["Held", "Journal", "JournalError", "JournalEntry", "Sync"]
+__all__ = ["FolderInUseError", "Journal", "JournalError", "JournalEntry", "Sync"]
--- a/rushhitch/journal/format.py
+++ b/rushhitch/journal/format.py
@@ -60,7 +60,7 @@
     """The journal cannot be used as it is; the text says why and what to do. Nothing was changed."""
 
 
-class Held(JournalError):
+class FolderInUseError(JournalError):
     """Another process holds the folder."""
 
 
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -26,7 +26,7 @@
 from rushhitch.journal.answers import AnswerFile, Marks, read_marks
 from rushhitch.journal.boot import boot_id
 from rushhitch.journal.files import BLOCK, Files, on_disk
-from rushhitch.journal.format import Held, JournalEntry
+from rushhitch.journal.format import FolderInUseError, JournalEntry
 from rushhitch.journal.replay import Replay, Report
 from rushhitch.journal.segments import PREFIX, Segment, warm_up
 from rushhitch.journal.space import RECORD_ROOM, Space
@@ -129,7 +129,9 @@
         self.aside: dict[str, int] = {}  # damaged files that were set aside, in whole blocks
         self.report = Report()
         if writable and not self.files.lock(LOCK):
-            raise Held(f"{folder} is held by another process: stop that one first, or use another folder")
+            raise FolderInUseError(
+                f"{folder} is held by another process: stop that one first, or use another folder"
+            )
         collects = gc.isenabled()
         gc.disable()  # many new objects, none of them garbage, would be gone through again and again
         try:
--- a/rushhitch/succession/takeover.py
+++ b/rushhitch/succession/takeover.py
@@ -12,7 +12,7 @@
 
 from rushhitch.config.platform import BadConfiguration, Configuration
 from rushhitch.fronts.client_connection import Adopted
-from rushhitch.journal import Held, Journal, JournalError, Sync
+from rushhitch.journal import FolderInUseError, Journal, JournalError, Sync
 from rushhitch.succession import channel as channels
 from rushhitch.succession.channel import GONE, Channel, Relay
 from rushhitch.succession.states import VERSION, Do, Successor
@@ -69,7 +69,7 @@
         told = self.configuration
         try:
             return Journal(told.state, told.disk_bytes, Sync(told.own.sync), lock=lock)
-        except Held as error:
+        except FolderInUseError as error:
             if told.control is None:  # no upgrades here: a mistake
                 raise BadConfiguration(f"ROUTER_STATE: {error}") from None
             return None
