--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -45,7 +45,7 @@
         out: deque[int] = deque()
         before = time.process_time()
         for number in range(1, count + 1):
-            journal.take(kept(module, number))
+            journal.record_accepted(kept(module, number))
             journal.attempt(number, 0, "endpoint-1", 1_900_000_000.0)
             journal.flush()
             out.append(number)
@@ -70,7 +70,7 @@
 def fill(module: Any, where: Path, disk: float) -> Any:
     journal = module.Journal(where, disk)
     for number in range(1, LIVE + 1):
-        journal.take(kept(module, number))
+        journal.record_accepted(kept(module, number))
         if number % 100 == 0:
             journal.flush()
     journal.flush()
@@ -134,7 +134,7 @@
         gc.freeze()  # as the dispatcher does after its start: the collector's pauses are not the journal's
         times = []
         for number in range(LIVE + 1, LIVE + count + 1):
-            journal.take(kept(segmented, number))
+            journal.record_accepted(kept(segmented, number))
             journal.attempt(number, 0, "endpoint-1", 1_900_000_000.0)
             before = time.perf_counter()
             journal.flush()
--- a/benchmarks/json_journal.py
+++ b/benchmarks/json_journal.py
@@ -67,7 +67,7 @@
 
     # What can happen to a message. Nothing is on disk before `flush`.
 
-    def take(self, kept: JournalEntry) -> None:
+    def record_accepted(self, kept: JournalEntry) -> None:
         self.lines.append(self.line(*self.taken(kept)))
         self.keep(kept)
 
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -80,7 +80,7 @@
         message = JournalEntry(
             number, b"%016x" % number, "note", number % 8, now + LEFT_S, bytes(body), taken_at=now
         )
-        journal.take(message)
+        journal.record_accepted(message)
         if number % 3 == 0:
             journal.attempt(number, 0, f"s-{number % ENDPOINTS}", now)
             journal.outcome(number, 0, False)
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -782,7 +782,7 @@
         most = self.settings.classes[self.classes[told.cls]].deadline_ms / 1000.0
         words = (told.id, told.cls, told.destination, now + most, told.body)
         kept = JournalEntry(self.numbers, *words, taken_at=now, attributes=told.attributes)
-        self.journal.take(kept)
+        self.journal.record_accepted(kept)
         self.arrive(self.enter(kept))
 
     def remember(self, kept: JournalEntry, end: Reply) -> None:
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -166,7 +166,7 @@
 
     # What can happen to a message. Nothing is on disk before `flush`.
 
-    def take(self, kept: JournalEntry) -> None:
+    def record_accepted(self, kept: JournalEntry) -> None:
         self.live[kept.number] = kept
         self.live_bytes += self.cost(kept)
         if kept.number > self.highest:
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -102,7 +102,7 @@
 def test_a_message_that_was_resumed_counts_against_its_tenant_again(tmp_path):
     async def work():
         journal = Journal(tmp_path, 3e6)
-        journal.take(JournalEntry(1, b"m1", "berth", 7, 4e9, b"x", tenant="comune"))
+        journal.record_accepted(JournalEntry(1, b"m1", "berth", 7, 4e9, b"x", tenant="comune"))
         journal.flush()
         journal.close()
         heard = []
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -326,7 +326,7 @@
         files = Few(tmp_path)
         journal = Journal(tmp_path, 1e6, Sync.BATCH, files)
         committer, told = Committer(journal), asyncio.Queue()
-        journal.take(kept(1))
+        journal.record_accepted(kept(1))
         committer.commit(lambda: told.put_nowait("done"), lambda: told.put_nowait("failed"))
         await asyncio.sleep(0.02)
         assert told.empty()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -46,8 +46,8 @@
 
 def filled(folder):
     journal = opened(folder)
-    journal.take(kept())
-    journal.take(kept(2))
+    journal.record_accepted(kept())
+    journal.record_accepted(kept(2))
     journal.attempt(1, 0, "e1", 1000.0)
     journal.attempt(2, 0, "e1", 1000.0)
     journal.outcome(1, 0, True)
@@ -69,7 +69,7 @@
 
 def test_an_attempt_proven_unsent_leaves_no_doubt(tmp_path):
     journal = opened(tmp_path)
-    journal.take(kept())
+    journal.record_accepted(kept())
     journal.attempt(1, 0, "e1", 1000.0)
     journal.outcome(1, 0, False)
     journal.flush()
@@ -94,7 +94,7 @@
 
 def test_a_number_is_not_used_again_while_files_tell_of_it(tmp_path):
     journal = filled(tmp_path)
-    journal.take(kept(9))
+    journal.record_accepted(kept(9))
     journal.flush()
     journal.end(9)
     journal.flush()
@@ -111,7 +111,7 @@
     path.write_bytes(path.read_bytes()[:-cut])
     again = opened(tmp_path)
     assert {1} <= set(again.live) and again.report.clean
-    again.take(kept(3))
+    again.record_accepted(kept(3))
     again.flush()
     last = reread(again)
     assert 3 in last.live and last.report.clean
@@ -126,9 +126,9 @@
 def test_damage_in_the_middle_is_told_from_a_torn_end_and_the_rest_is_recovered(tmp_path, caplog):
     # Guards against an unsafe message that is sent twice, since its attempt was in the damaged part.
     journal = opened(tmp_path)
-    journal.take(kept(1, b"first"))
-    journal.take(kept(2, b"the second one"))
-    journal.take(kept(3, b"third"))
+    journal.record_accepted(kept(1, b"first"))
+    journal.record_accepted(kept(2, b"the second one"))
+    journal.record_accepted(kept(3, b"third"))
     journal.flush()
     journal.close()
     (path,) = segments(tmp_path)
@@ -150,9 +150,9 @@
 
 def test_a_damaged_file_is_not_kept_where_the_disk_has_no_room(tmp_path):
     journal = opened(tmp_path, disk=20_000)
-    journal.take(kept(1, bytes(2000)))
-    journal.take(kept(2, b"the second one"))
-    journal.take(kept(3, bytes(1200)))
+    journal.record_accepted(kept(1, bytes(2000)))
+    journal.record_accepted(kept(2, b"the second one"))
+    journal.record_accepted(kept(3, bytes(1200)))
     journal.flush()
     journal.close()
     spoil(segments(tmp_path)[0], b"the second one", b"the sec0nd one")
@@ -165,7 +165,7 @@
 def test_a_whole_segment_that_is_missing_is_damage(tmp_path):
     journal = opened(tmp_path)
     for number in range(1, 4):
-        journal.take(kept(number))
+        journal.record_accepted(kept(number))
         journal.flush()
         journal.roll()
     journal.close()
@@ -178,7 +178,7 @@
 def test_a_damaged_header_costs_no_record(tmp_path):
     journal = opened(tmp_path)
     for number in range(1, 4):
-        journal.take(kept(number))
+        journal.record_accepted(kept(number))
         journal.flush()
         journal.roll()
     journal.close()
@@ -215,7 +215,7 @@
     filled(one).close()
     journal = filled(other)
     journal.roll()
-    journal.take(kept(7))
+    journal.record_accepted(kept(7))
     journal.flush()
     journal.close()
     shutil.copy(segments(other)[1], one)
@@ -266,7 +266,7 @@
     taken, chance = [], random.Random(4)
     for number in range(3000):
         if journal.has_room(500):
-            journal.take(kept(number, bytes(500)))
+            journal.record_accepted(kept(number, bytes(500)))
             taken.append(number)
         else:
             journal.end(taken.pop(chance.randrange(len(taken))))
@@ -280,11 +280,11 @@
 def test_a_write_that_failed_leaves_no_gap_and_goes_first_at_the_next_flush(tmp_path):
     journal = filled(tmp_path)
     journal.files = FailingFiles(tmp_path, 1, 3, short=True)
-    journal.take(kept(3))
+    journal.record_accepted(kept(3))
     with pytest.raises(OSError, match="No space"):
         journal.flush()
     assert journal.unsaved and not journal.has_room(1)
-    journal.take(kept(4))
+    journal.record_accepted(kept(4))
     journal.files = Files(tmp_path)
     journal.flush()
     assert not journal.unsaved
@@ -297,7 +297,7 @@
     # The write does half, and then neither the rest nor the truncation works.
     journal = filled(tmp_path)
     journal.files = FailingFiles(tmp_path, 1, 4, short=True)
-    journal.take(kept(3))
+    journal.record_accepted(kept(3))
     with pytest.raises(OSError, match="No space"):
         journal.flush()
     journal.files = Files(tmp_path)
@@ -310,7 +310,7 @@
 def test_of_a_message_that_was_never_written_nothing_is_written_at_its_end(tmp_path):
     journal = filled(tmp_path)
     size = segments(tmp_path)[0].stat().st_size
-    journal.take(kept(3))
+    journal.record_accepted(kept(3))
     journal.end(3)
     journal.flush()
     assert segments(tmp_path)[0].stat().st_size == size
@@ -321,10 +321,10 @@
     files = FullFiles(tmp_path, DISK)
     journal = opened(tmp_path, files=files)
     for number in range(20):
-        journal.take(kept(number, bytes(500)))
+        journal.record_accepted(kept(number, bytes(500)))
     journal.flush()
     files.room = sum(on_disk(size) for size in files.names().values())
-    journal.take(kept(20, bytes(2000)))
+    journal.record_accepted(kept(20, bytes(2000)))
     with pytest.raises(OSError, match="No space"):
         journal.flush()
     journal.end(20)
@@ -353,7 +353,7 @@
 def test_a_restart_on_a_full_disk_keeps_what_is_live(tmp_path):
     journal = opened(tmp_path)
     for number in range(100):
-        journal.take(kept(number, bytes(500)))
+        journal.record_accepted(kept(number, bytes(500)))
     journal.flush()
     journal.close()
     files = FullFiles(tmp_path, 0.0)
@@ -369,12 +369,12 @@
 
 def test_many_short_lives_do_not_leave_many_files(tmp_path):
     journal = opened(tmp_path)
-    journal.take(kept(1))
+    journal.record_accepted(kept(1))
     for number in range(2, 200):
-        journal.take(kept(number))
+        journal.record_accepted(kept(number))
         journal.end(number)
         journal.flush()
-        journal.take(kept(1000 + number, b""))
+        journal.record_accepted(kept(1000 + number, b""))
         journal.flush()
         journal.end(1000 + number)
         journal.flush()
@@ -385,7 +385,7 @@
 def test_a_hundred_thousand_live_messages_come_back(tmp_path):
     journal = opened(tmp_path, disk=200e6)
     for number in range(100_000):
-        journal.take(kept(number, b"%064d" % number))
+        journal.record_accepted(kept(number, b"%064d" % number))
         if number % 500 == 0:
             journal.flush()
     journal.flush()
@@ -409,7 +409,7 @@
     for step, number in steps:
         message = journal.live.get(number)
         if step == "take" and message is None:
-            journal.take(kept(number))
+            journal.record_accepted(kept(number))
         elif step == "try" and message:
             journal.attempt(number, message.attempts, "e1", 1000.0 + message.attempts)
         elif step == "got" and message and message.out:
@@ -443,9 +443,9 @@
     empty = journal.live_bytes
     first, second = kept(1), kept(2)
     second.id = first.id
-    journal.take(first)
+    journal.record_accepted(first)
     journal.owe(1, "dead", 0.0)
-    journal.take(second)
+    journal.record_accepted(second)
     journal.flush()
     journal.end(1)
     journal.flush()
@@ -475,7 +475,7 @@
     # Guards against a pause of the loop: a step copies so many messages and bytes, however many are live.
     journal = opened(tmp_path, disk=50e6)
     for number in range(2000):
-        journal.take(kept(number, bytes(100)))
+        journal.record_accepted(kept(number, bytes(100)))
     journal.flush()
     journal.roll()
     sizes = []
@@ -494,7 +494,7 @@
     files = CountingFiles(tmp_path, 60_000)
     journal = opened(tmp_path, disk=60_000, files=files)
     for number in range(40):
-        journal.take(kept(number, bytes(300)))
+        journal.record_accepted(kept(number, bytes(300)))
     journal.flush()
 
     def broken(name):
@@ -503,7 +503,7 @@
     files.unlink = broken
     for number in range(40):
         journal.end(number)
-        journal.take(kept(100 + number, bytes(300)))
+        journal.record_accepted(kept(100 + number, bytes(300)))
         journal.flush()
     assert sorted(seen(tmp_path).live) == list(range(100, 140))
 
@@ -513,7 +513,7 @@
     # Guards against a start that follows megabytes of small records, most of them of no use any more.
     journal = Journal(tmp_path, 16e6)
     for number in range(1, live + 1):
-        journal.take(JournalEntry(number, b"m%d" % number, "note", 7, 4e9, b"x"))
+        journal.record_accepted(JournalEntry(number, b"m%d" % number, "note", 7, 4e9, b"x"))
     most = 0
     for turn in range(20_000):
         journal.attempt(turn % live + 1, turn, "e1", 1000.0)
--- a/tests/test_journal_cli.py
+++ b/tests/test_journal_cli.py
@@ -12,7 +12,7 @@
 def journal_with(folder, *numbers):
     journal = Journal(folder, 1e6)
     for number in numbers:
-        journal.take(
+        journal.record_accepted(
             JournalEntry(
                 number, b"m%d" % number, "pay", 7, 2_000_000_000.0, b"body", taken_at=1_700_000_000.0
             )
--- a/tests/test_journal_crash.py
+++ b/tests/test_journal_crash.py
@@ -336,7 +336,7 @@
     # Guards against messages of one key that overtake each other at a restart: the lab saw it.
     journal = Journal(tmp_path, DISK)
     for number in range(1, 6):
-        journal.take(JournalEntry(number, b"m%d" % number, "note", 7, WALL + 1e6, b"", key=3))
+        journal.record_accepted(JournalEntry(number, b"m%d" % number, "note", 7, WALL + 1e6, b"", key=3))
         journal.flush()
         if number == 2:
             journal.roll()
--- a/tests/test_journal_sync.py
+++ b/tests/test_journal_sync.py
@@ -122,7 +122,7 @@
         journal = Journal(folder, DISK, Sync.BATCH, files)
         promised: dict[int, bool] = {}  # by number: is it live
         for number in range(seed % 50 + 5):
-            journal.take(kept(number, bytes(300)))
+            journal.record_accepted(kept(number, bytes(300)))
             noted = {number: True}
             if number >= 8:
                 journal.end(number - 8)
@@ -132,7 +132,9 @@
                 group = journal.sync_group()
                 assert group is not None
                 if number % 3 == 1:
-                    journal.take(kept(1000 + number, bytes(900)))  # more comes while the group is at work
+                    journal.record_accepted(
+                        kept(1000 + number, bytes(900))
+                    )  # more comes while the group is at work
                     journal.flush()
                     journal.end(1000 + number)
                     journal.flush()
@@ -155,13 +157,13 @@
     # Its attempt was not told as down, so it was not sent: after the cut it is still safe to send.
     files = PowerCutFiles(tmp_path)
     journal = Journal(tmp_path, 1e6, Sync.BATCH, files)
-    journal.take(kept(1))
+    journal.record_accepted(kept(1))
     journal.flush()
     group = journal.sync_group()
     group.run()
     group.done()
     for number in range(2, 40):
-        journal.take(kept(number))
+        journal.record_accepted(kept(number))
         journal.flush()
     for seed in range(30):
         files.cut(seed)
@@ -182,10 +184,10 @@
         journal.files.sync = watched
         ready = asyncio.Event()
         for number in range(5):
-            journal.take(kept(number))
+            journal.record_accepted(kept(number))
             committer.commit(lambda: order.append("told"), lambda: order.append("failed"))
         assert order == [], "told before the sync"
-        journal.take(kept(9))
+        journal.record_accepted(kept(9))
         committer.commit(ready.set, ready.set)
         await asyncio.wait_for(ready.wait(), 10)
         assert order[0] == "synced" and order.count("told") == 5 and order.count("synced") <= 2
@@ -206,7 +208,7 @@
             committer.commit(lambda: told.put_nowait("done"), lambda: told.put_nowait("failed"))
             return await asyncio.wait_for(told.get(), 10)
 
-        journal.take(kept(1))
+        journal.record_accepted(kept(1))
         assert await commit() == "done"
         sync = files.sync
 
@@ -215,7 +217,7 @@
             raise OSError(errno.EIO, "the disk is broken")
 
         files.sync = broken
-        journal.take(kept(2))
+        journal.record_accepted(kept(2))
         assert await commit() == "failed"
         assert journal.unsaved and not journal.has_room(1)
         files.sync = sync
@@ -234,7 +236,7 @@
     with pytest.raises(Crash):
         journal = Journal(tmp_path, 1e6, sync, files)
         for number in range(20):
-            journal.take(kept(number))
+            journal.record_accepted(kept(number))
             journal.flush()
     files.die()
     power = PowerCutFiles(tmp_path)
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -350,7 +350,7 @@
 @pytest.mark.parametrize("compacted", [False, True])
 def test_the_journal_tells_of_the_first_attempt_that_may_have_run(tmp_path, compacted):
     journal = Journal(tmp_path, 3e6)
-    journal.take(JournalEntry(1, b"m1", "berth", 7, 4e9, b"x"))
+    journal.record_accepted(JournalEntry(1, b"m1", "berth", 7, 4e9, b"x"))
     for number, may_have_run in enumerate((False, True, True)):
         journal.attempt(1, number, f"e{number}", 1000.25 + number)
         journal.outcome(1, number, may_have_run)
