--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -566,7 +566,7 @@
                 log.exception("not carried out: %r", action)
         for message in fresh:
             if not message.over and self.lifecycle.advance(message, Effect.RECORD):
-                self.journal.offer(message.kept)
+                self.journal.record_received(message.kept)
         self.commit(lambda: self.carry_out(fresh, sends), lambda: self.reject_uncommitted(fresh, sends))
 
     def carry_out(self, fresh: list[Message], sends: dict[str, list[Attempt]]) -> None:
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -173,7 +173,7 @@
             self.highest = kept.number
         self.note(kept.number, form.MESSAGE, form.message_payload(kept))
 
-    def offer(self, kept: JournalEntry) -> None:
+    def record_received(self, kept: JournalEntry) -> None:
         """The message came in; its client has no answer yet. After a kill it is dropped."""
         self.unaccepted.add(kept.number)
         self.live[kept.number] = kept
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -25,7 +25,7 @@
     """A process that recorded so many messages and was killed behind that answer, or within the next one."""
     journal = opened(folder)
     for number in range(1, count + 1):
-        journal.offer(kept(number))
+        journal.record_received(kept(number))
     journal.flush()
     for number in range(1, answered + 1):
         journal.answering(number)
@@ -68,7 +68,7 @@
 def test_what_is_in_doubt_stays_so_until_its_refusal_is_recorded(tmp_path):
     recorded(tmp_path, 1, 2)
     journal = opened(tmp_path)
-    journal.offer(kept(9))
+    journal.record_received(kept(9))
     journal.owe(2, "bounced", 500.0)
     journal.answering(9)  # the refusal goes first
     journal.answered(9)
@@ -81,7 +81,7 @@
     # Guards against a refused message that counts as answered, since a later one was.
     journal = opened(tmp_path)
     for number in (1, 2):
-        journal.offer(kept(number))
+        journal.record_received(kept(number))
     journal.flush()
     journal.end(1)  # its client was refused
     journal.answering(2)
@@ -134,7 +134,7 @@
     failing[0] = False
     now[0] += RETRY_RESERVE_S
     assert journal.has_room(10)
-    journal.offer(kept(1))
+    journal.record_received(kept(1))
     failing[0] = True
     with pytest.raises(OSError):
         journal.answering(1)
--- a/tests/test_journal_sync.py
+++ b/tests/test_journal_sync.py
@@ -95,7 +95,7 @@
 def test_an_offer_that_was_not_accepted_is_dropped_after_a_kill_and_in_doubt_after_a_power_cut(tmp_path):
     journal = Journal(tmp_path, 1e6, Sync.BATCH, boot="one")
     for number in (1, 2, 3):
-        journal.offer(kept(number))
+        journal.record_received(kept(number))
     journal.flush()
     journal.answering(1)
     journal.answered(1)
