--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -602,7 +602,7 @@
         if answer is None or not self.lifecycle.permits(message, Effect.ANSWER):
             return True
         try:
-            self.journal.answering(message.number)
+            self.journal.begin_answer(message.number)
         except OSError as error:
             log.error("the journal cannot be written: %s", error)
             return False
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -181,7 +181,7 @@
         self.highest = max(self.highest, kept.number)
         self.note_whole(kept)
 
-    def answering(self, number: int) -> None:
+    def begin_answer(self, number: int) -> None:
         """The client of a recorded message is about to be told that it is accepted. Raises `OSError` where
         the disk does not take that: then nobody may be told. What was noted goes first: behind this, all
         messages before it count as answered but for those that the journal says have ended."""
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -28,10 +28,10 @@
         journal.record_received(kept(number))
     journal.flush()
     for number in range(1, answered + 1):
-        journal.answering(number)
+        journal.begin_answer(number)
         journal.answered(number)
     if answering:
-        journal.answering(answering)
+        journal.begin_answer(answering)
     journal.close()
 
 
@@ -70,7 +70,7 @@
     journal = opened(tmp_path)
     journal.record_received(kept(9))
     journal.owe(2, "bounced", 500.0)
-    journal.answering(9)  # the refusal goes first
+    journal.begin_answer(9)  # the refusal goes first
     journal.answered(9)
     journal.close()
     journal = opened(tmp_path)
@@ -84,7 +84,7 @@
         journal.record_received(kept(number))
     journal.flush()
     journal.end(1)  # its client was refused
-    journal.answering(2)
+    journal.begin_answer(2)
     journal.close()
     assert sorted(opened(tmp_path, writable=False).live) == [2]
 
@@ -137,7 +137,7 @@
     journal.record_received(kept(1))
     failing[0] = True
     with pytest.raises(OSError):
-        journal.answering(1)
+        journal.begin_answer(1)
     failing[0] = False
     journal.close()
     assert not opened(tmp_path, writable=False).live, "nobody was told of it"
