--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -612,7 +612,7 @@
             self.drop(message)
             self.commit()
             return True
-        self.journal.answered(message.number)
+        self.journal.finish_answer(message.number)
         self.lifecycle.advance(message, Effect.ACCEPT)
         return True
 
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -191,7 +191,7 @@
             self.flush(sync=False)
         self.answers.begin(number)
 
-    def answered(self, number: int) -> None:
+    def finish_answer(self, number: int) -> None:
         """The whole of that answer is in the system's hands. Without a word of it on the disk the message
         stays in doubt until the next answer."""
         try:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -29,7 +29,7 @@
     journal.flush()
     for number in range(1, answered + 1):
         journal.begin_answer(number)
-        journal.answered(number)
+        journal.finish_answer(number)
     if answering:
         journal.begin_answer(answering)
     journal.close()
@@ -71,7 +71,7 @@
     journal.record_received(kept(9))
     journal.owe(2, "bounced", 500.0)
     journal.begin_answer(9)  # the refusal goes first
-    journal.answered(9)
+    journal.finish_answer(9)
     journal.close()
     journal = opened(tmp_path)
     assert journal.in_doubt == [] and journal.live[2].notice == ("bounced", 500.0) and 9 in journal.live
--- a/tests/test_journal_sync.py
+++ b/tests/test_journal_sync.py
@@ -98,7 +98,7 @@
         journal.record_received(kept(number))
     journal.flush()
     journal.begin_answer(1)
-    journal.answered(1)
+    journal.finish_answer(1)
     journal.begin_answer(2)
     journal.close()  # killed in the step of the second answer
     found = Journal(tmp_path, 1e6, Sync.BATCH, writable=False, boot="one")
