--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -46,7 +46,7 @@
         before = time.process_time()
         for number in range(1, count + 1):
             journal.record_accepted(kept(module, number))
-            journal.attempt(number, 0, "endpoint-1", 1_900_000_000.0)
+            journal.record_attempt(number, 0, "endpoint-1", 1_900_000_000.0)
             journal.flush()
             out.append(number)
             if len(out) > WINDOW:
@@ -135,7 +135,7 @@
         times = []
         for number in range(LIVE + 1, LIVE + count + 1):
             journal.record_accepted(kept(segmented, number))
-            journal.attempt(number, 0, "endpoint-1", 1_900_000_000.0)
+            journal.record_attempt(number, 0, "endpoint-1", 1_900_000_000.0)
             before = time.perf_counter()
             journal.flush()
             middle = time.perf_counter()
--- a/benchmarks/json_journal.py
+++ b/benchmarks/json_journal.py
@@ -71,7 +71,7 @@
         self.lines.append(self.line(*self.taken(kept)))
         self.keep(kept)
 
-    def attempt(self, message: int, number: int, endpoint: str, at: float) -> None:
+    def record_attempt(self, message: int, number: int, endpoint: str, at: float) -> None:
         self.note("try", message, number, endpoint, at)
 
     def outcome(self, message: int, number: int, may_have_run: bool) -> None:
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -638,7 +638,7 @@
             return [attempt for attempt in attempts if self.may_send(attempt)]
 
         for attempt in open_attempts():
-            self.journal.attempt(attempt.message, attempt.number, endpoint, self.steady())
+            self.journal.record_attempt(attempt.message, attempt.number, endpoint, self.steady())
         self.commit(lambda: go(open_attempts()), lambda: go([]))
 
     def reject_uncommitted(self, fresh: list[Message], sends: dict[str, list[Attempt]]) -> None:
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -208,7 +208,7 @@
         else:
             self.note(kept.number, form.MESSAGE, form.message_payload(kept, early))
 
-    def attempt(self, message: int, number: int, endpoint: str, at: float) -> None:
+    def record_attempt(self, message: int, number: int, endpoint: str, at: float) -> None:
         kept = self.live[message]
         kept.out[number] = (endpoint, at)
         if number >= kept.attempts:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -48,10 +48,10 @@
     journal = opened(folder)
     journal.record_accepted(kept())
     journal.record_accepted(kept(2))
-    journal.attempt(1, 0, "e1", 1000.0)
-    journal.attempt(2, 0, "e1", 1000.0)
+    journal.record_attempt(1, 0, "e1", 1000.0)
+    journal.record_attempt(2, 0, "e1", 1000.0)
     journal.outcome(1, 0, True)
-    journal.attempt(1, 1, "e2", 1001.0)
+    journal.record_attempt(1, 1, "e2", 1001.0)
     journal.flush()
     return journal
 
@@ -70,7 +70,7 @@
 def test_an_attempt_proven_unsent_leaves_no_doubt(tmp_path):
     journal = opened(tmp_path)
     journal.record_accepted(kept())
-    journal.attempt(1, 0, "e1", 1000.0)
+    journal.record_attempt(1, 0, "e1", 1000.0)
     journal.outcome(1, 0, False)
     journal.flush()
     again = reread(journal).live[1]
@@ -411,7 +411,7 @@
         if step == "take" and message is None:
             journal.record_accepted(kept(number))
         elif step == "try" and message:
-            journal.attempt(number, message.attempts, "e1", 1000.0 + message.attempts)
+            journal.record_attempt(number, message.attempts, "e1", 1000.0 + message.attempts)
         elif step == "got" and message and message.out:
             journal.outcome(number, min(message.out), number % 2 == 0)
         elif step == "owe" and message and not message.notice:
@@ -516,7 +516,7 @@
         journal.record_accepted(JournalEntry(number, b"m%d" % number, "note", 7, 4e9, b"x"))
     most = 0
     for turn in range(20_000):
-        journal.attempt(turn % live + 1, turn, "e1", 1000.0)
+        journal.record_attempt(turn % live + 1, turn, "e1", 1000.0)
         journal.outcome(turn % live + 1, turn, False)
         journal.flush()
         most = max(most, journal.sequence - journal.segments[0].base)
