--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -481,7 +481,7 @@
         kept, later = message.kept, result.over and result.later and not message.over
         if later:
             if message.number in self.journal.live:
-                self.journal.handed(message.number, result.attempt.number)
+                self.journal.record_awaiting_ack(message.number, result.attempt.number)
             self.hand_over(message)
             if self.ordered(kept):
                 message.pending = result  # to the module the attempt stays out: the next of its key must wait
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -215,7 +215,7 @@
             kept.attempts = number + 1
         self.note(message, form.TRY, form.TRY_HEAD.pack(message, number, at) + endpoint.encode())
 
-    def handed(self, message: int, number: int) -> None:
+    def record_awaiting_ack(self, message: int, number: int) -> None:
         """The attempt was answered and stays out: an acknowledgement is to come."""
         self.live[message].handed = number
         self.note(message, form.HANDED, form.HANDED_HEAD.pack(message, number))
