--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -440,7 +440,7 @@
         elif found in (Acknowledged.RETRY, Acknowledged.AWAIT):
             (attempt,) = (kept.handed,) if message.handed else message.out
             if told.verdict is Verdict.NOT_RUN:
-                self.journal.denied(message.number, attempt, told.mark)
+                self.journal.record_not_run(message.number, attempt, told.mark)
             else:
                 kept.marks.append(told.mark)
                 if message.handed:
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -220,7 +220,7 @@
         self.live[message].handed = number
         self.note(message, form.HANDED, form.HANDED_HEAD.pack(message, number))
 
-    def denied(self, message: int, number: int, mark: bytes) -> None:
+    def record_not_run(self, message: int, number: int, mark: bytes) -> None:
         """By an acknowledgement with that mark the attempt never ran."""
         kept = self.live[message]
         kept.attempt_ended(number, may_have_run=False)
