--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -51,7 +51,7 @@
             out.append(number)
             if len(out) > WINDOW:
                 old = out.popleft()
-                journal.outcome(old, 0, True)
+                journal.record_outcome(old, 0, True)
                 journal.end(old)
                 journal.flush()
         took = time.process_time() - before
--- a/benchmarks/json_journal.py
+++ b/benchmarks/json_journal.py
@@ -74,7 +74,7 @@
     def record_attempt(self, message: int, number: int, endpoint: str, at: float) -> None:
         self.note("try", message, number, endpoint, at)
 
-    def outcome(self, message: int, number: int, may_have_run: bool) -> None:
+    def record_outcome(self, message: int, number: int, may_have_run: bool) -> None:
         self.note("got", message, number, may_have_run)
 
     def owe(self, message: int, result: str, wait_ms: float) -> None:
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -83,13 +83,13 @@
         journal.record_accepted(message)
         if number % 3 == 0:
             journal.record_attempt(number, 0, f"s-{number % ENDPOINTS}", now)
-            journal.outcome(number, 0, False)
+            journal.record_outcome(number, 0, False)
         journal.flush()
     numbers = itertools.cycle([number for number in journal.live if number % 3 == 0])
     while held is None and journal.used < 0.99 * journal.space.compact_by:
         number = next(numbers)
         journal.record_attempt(number, 1, f"s-{number % ENDPOINTS}", now)
-        journal.outcome(number, 1, False)
+        journal.record_outcome(number, 1, False)
         journal.flush()
         if journal.segments[0].number > 40 and journal.crowded(0.99):
             break  # compaction keeps up, and is about to begin anew: fuller the folder is not for long
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -444,7 +444,7 @@
             else:
                 kept.marks.append(told.mark)
                 if message.handed:
-                    self.journal.outcome(message.number, attempt, may_have_run=True)
+                    self.journal.record_outcome(message.number, attempt, may_have_run=True)
             if message.handed:
                 self.take_back(message)
                 if message.pending is not None:
@@ -496,7 +496,7 @@
             and result.attempt.number in message.kept.out
             and not result.over
         ):
-            self.journal.outcome(message.number, result.attempt.number, not result.outcome.never_ran)
+            self.journal.record_outcome(message.number, result.attempt.number, not result.outcome.never_ran)
         if result.over and not later and not message.over:
             self.close(message, Effect.DELIVER)
         if result.final and message.stage is Stage.ACCEPTED:
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -227,7 +227,7 @@
         kept.marks.append(mark)
         self.note(message, form.DENIED, form.HANDED_HEAD.pack(message, number) + mark)
 
-    def outcome(self, message: int, number: int, may_have_run: bool) -> None:
+    def record_outcome(self, message: int, number: int, may_have_run: bool) -> None:
         self.live[message].attempt_ended(number, may_have_run)
         self.note(message, form.GOT, form.GOT_HEAD.pack(message, number, may_have_run))
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -50,7 +50,7 @@
     journal.record_accepted(kept(2))
     journal.record_attempt(1, 0, "e1", 1000.0)
     journal.record_attempt(2, 0, "e1", 1000.0)
-    journal.outcome(1, 0, True)
+    journal.record_outcome(1, 0, True)
     journal.record_attempt(1, 1, "e2", 1001.0)
     journal.flush()
     return journal
@@ -71,7 +71,7 @@
     journal = opened(tmp_path)
     journal.record_accepted(kept())
     journal.record_attempt(1, 0, "e1", 1000.0)
-    journal.outcome(1, 0, False)
+    journal.record_outcome(1, 0, False)
     journal.flush()
     again = reread(journal).live[1]
     assert again.first_run is None and again.attempts == 1
@@ -413,7 +413,7 @@
         elif step == "try" and message:
             journal.record_attempt(number, message.attempts, "e1", 1000.0 + message.attempts)
         elif step == "got" and message and message.out:
-            journal.outcome(number, min(message.out), number % 2 == 0)
+            journal.record_outcome(number, min(message.out), number % 2 == 0)
         elif step == "owe" and message and not message.notice:
             journal.owe(number, "dead", 0.0)
         elif step == "end" and message:
@@ -517,7 +517,7 @@
     most = 0
     for turn in range(20_000):
         journal.record_attempt(turn % live + 1, turn, "e1", 1000.0)
-        journal.outcome(turn % live + 1, turn, False)
+        journal.record_outcome(turn % live + 1, turn, False)
         journal.flush()
         most = max(most, journal.sequence - journal.segments[0].base)
     kept = {number: message.attempts for number, message in journal.live.items()}
--- a/tests/test_journal_cli.py
+++ b/tests/test_journal_cli.py
@@ -25,7 +25,7 @@
     journal = journal_with(tmp_path, 1, 2, 3)
     journal.record_attempt(1, 0, "e1", 1_700_000_001.0)
     journal.record_attempt(2, 0, "e2", 1_700_000_001.0)
-    journal.outcome(2, 0, False)
+    journal.record_outcome(2, 0, False)
     journal.owe(3, "bounced", 300.0)
     journal.chill("e2", 2.5)
     journal.flush()
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -353,7 +353,7 @@
     journal.record_accepted(JournalEntry(1, b"m1", "berth", 7, 4e9, b"x"))
     for number, may_have_run in enumerate((False, True, True)):
         journal.record_attempt(1, number, f"e{number}", 1000.25 + number)
-        journal.outcome(1, number, may_have_run)
+        journal.record_outcome(1, number, may_have_run)
     journal.record_attempt(1, 3, "e3", 1003.25)
     journal.flush()
     if compacted:
