--- a/benchmarks/json_journal.py
+++ b/benchmarks/json_journal.py
@@ -77,7 +77,7 @@
     def record_outcome(self, message: int, number: int, may_have_run: bool) -> None:
         self.note("got", message, number, may_have_run)
 
-    def owe(self, message: int, result: str, wait_ms: float) -> None:
+    def record_notice(self, message: int, result: str, wait_ms: float) -> None:
         """The message has ended, and the platform must be told."""
         self.note("owe", message, result, wait_ms)
 
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -338,7 +338,7 @@
         that promises least, so that a process which starts meanwhile sends nothing either."""
         log_abandoned(message, why)
         if self.lifecycle.advance(message, Effect.ABANDON) and message.awaits_outcome:
-            self.journal.owe(message.number, FAILED_NOTICE, 0.0)
+            self.journal.record_notice(message.number, FAILED_NOTICE, 0.0)
 
     def end_abandoned(self, message: Message) -> None:
         """No call of an abandoned message is out, and none delivered it."""
@@ -732,7 +732,7 @@
         end = FAILED if result == "dead" else Reply("refused", wait_ms)
         self.tell_sink(message, end)
         if message.number in self.journal.live:
-            self.journal.owe(message.number, result, wait_ms)
+            self.journal.record_notice(message.number, result, wait_ms)
         self.notices.append(PendingNotice(message.number, message.id, result, wait_ms, message.due))
         self.close(message, Effect.EXPIRE, end=end)
 
@@ -758,7 +758,7 @@
         if message.number in self.journal.live:
             if message.kept.remember and end.what != WITHDRAWN.what:
                 if not noticed:
-                    self.journal.owe(message.number, end.what, 0.0)
+                    self.journal.record_notice(message.number, end.what, 0.0)
                 self.remember(message.kept, end)
             elif not noticed:
                 self.journal.end(message.number)
@@ -797,7 +797,7 @@
 
     def notice_heard(self, number: int) -> None:
         if number in self.ended.numbers:
-            self.journal.owe(number, FAILED.what, 0.0)  # the platform knows now
+            self.journal.record_notice(number, FAILED.what, 0.0)  # the platform knows now
             self.commit()
         elif number in self.journal.live:
             self.journal.end(number)
@@ -858,7 +858,7 @@
         kept = self.journal.live.get(notice.number)
         if notice.result != REFUSED_NOTICE or kept is None or not kept.attempts:
             return notice
-        self.journal.owe(notice.number, FAILED_NOTICE, 0.0)
+        self.journal.record_notice(notice.number, FAILED_NOTICE, 0.0)
         return replace(notice, result=FAILED_NOTICE, wait_ms=0.0)
 
 
--- a/rushhitch/core/resumption.py
+++ b/rushhitch/core/resumption.py
@@ -90,6 +90,6 @@
     is gone, or its client may not have heard that it is accepted and have handed it in anew."""
     result = "dead" if end is FAILED else "bounced"
     node.recent_ends.add(kept.id, end, node.loop.time())
-    node.journal.owe(kept.number, result, end.wait_ms)
+    node.journal.record_notice(kept.number, result, end.wait_ms)
     node.notices.append(PendingNotice(kept.number, kept.id, result, end.wait_ms, node.due_of(kept)))
     node.figures.ended(kept.cls, end.what)
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -231,7 +231,7 @@
         self.live[message].attempt_ended(number, may_have_run)
         self.note(message, form.GOT, form.GOT_HEAD.pack(message, number, may_have_run))
 
-    def owe(self, message: int, result: str, wait_ms: float) -> None:
+    def record_notice(self, message: int, result: str, wait_ms: float) -> None:
         """The message has ended, and the platform must be told."""
         self.ended(self.live[message], result, wait_ms)
         self.note(message, form.OWE, form.OWE_HEAD.pack(message, wait_ms) + result.encode())
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -69,7 +69,7 @@
     recorded(tmp_path, 1, 2)
     journal = opened(tmp_path)
     journal.record_received(kept(9))
-    journal.owe(2, "bounced", 500.0)
+    journal.record_notice(2, "bounced", 500.0)
     journal.begin_answer(9)  # the refusal goes first
     journal.finish_answer(9)
     journal.close()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -79,7 +79,7 @@
 
 def test_a_notice_is_kept_until_it_is_over(tmp_path):
     journal = filled(tmp_path)
-    journal.owe(1, "bounced", 300.0)
+    journal.record_notice(1, "bounced", 300.0)
     journal.end(2)
     journal.flush()
     again = reread(journal)
@@ -329,7 +329,7 @@
         journal.flush()
     journal.end(20)
     for number in range(20):
-        journal.owe(number, "dead", 0.0)
+        journal.record_notice(number, "dead", 0.0)
         journal.flush()
     assert [message.notice for message in seen(tmp_path).live.values()] == [("dead", 0.0)] * 20
     assert not journal.has_room(1), "new messages wait until the reserve is back"
@@ -415,7 +415,7 @@
         elif step == "got" and message and message.out:
             journal.record_outcome(number, min(message.out), number % 2 == 0)
         elif step == "owe" and message and not message.notice:
-            journal.owe(number, "dead", 0.0)
+            journal.record_notice(number, "dead", 0.0)
         elif step == "end" and message:
             journal.end(number)
         elif step in ("flush", "compact", "roll", "reopen"):
@@ -444,7 +444,7 @@
     first, second = kept(1), kept(2)
     second.id = first.id
     journal.record_accepted(first)
-    journal.owe(1, "dead", 0.0)
+    journal.record_notice(1, "dead", 0.0)
     journal.record_accepted(second)
     journal.flush()
     journal.end(1)
