--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -52,7 +52,7 @@
             if len(out) > WINDOW:
                 old = out.popleft()
                 journal.record_outcome(old, 0, True)
-                journal.end(old)
+                journal.record_end(old)
                 journal.flush()
         took = time.process_time() - before
         size = sum(
@@ -139,7 +139,7 @@
             before = time.perf_counter()
             journal.flush()
             middle = time.perf_counter()
-            journal.end(number)
+            journal.record_end(number)
             after = time.perf_counter()
             journal.flush()
             times += [middle - before, time.perf_counter() - after]
--- a/benchmarks/json_journal.py
+++ b/benchmarks/json_journal.py
@@ -81,7 +81,7 @@
         """The message has ended, and the platform must be told."""
         self.note("owe", message, result, wait_ms)
 
-    def end(self, message: int) -> None:
+    def record_end(self, message: int) -> None:
         """Nothing more is owed."""
         self.note("end", message)
 
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -218,7 +218,7 @@
             size += RECORD_ROOM + self.sinks.room  # of the message that tells its end
         room = self.fresh_bytes + size
         for gone in self.ended.forget(self.steady()):
-            self.journal.end(gone)
+            self.journal.record_end(gone)
         full = offer.remember and self.ended.full(len(self.by_id))
         if full or len(self.by_id) >= self.settings.max_held or not self.journal.has_room(room):
             self.figures.ended(offer.cls, "refused")
@@ -761,7 +761,7 @@
                     self.journal.record_notice(message.number, end.what, 0.0)
                 self.remember(message.kept, end)
             elif not noticed:
-                self.journal.end(message.number)
+                self.journal.record_end(message.number)
         self.by_id.pop(message.kept.id, None)
         self.forget(message)
         if not self.by_id:
@@ -789,7 +789,7 @@
         """The journal keeps the message, without its body, until its identity may be forgotten."""
         self.ended.add(kept.id, End(kept.number, end, kept.deadline + self.keep_s))
         for number in self.ended.forget(self.steady()):
-            self.journal.end(number)
+            self.journal.record_end(number)
 
     def forget(self, message: Message) -> None:
         if message.over and not message.out:
@@ -800,7 +800,7 @@
             self.journal.record_notice(number, FAILED.what, 0.0)  # the platform knows now
             self.commit()
         elif number in self.journal.live:
-            self.journal.end(number)
+            self.journal.record_end(number)
             self.commit()
 
     def commit(
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -241,7 +241,7 @@
         kept.notice, kept.body, kept.attributes = (result, wait_ms), b"", b""
         self.live_bytes += self.cost(kept)
 
-    def end(self, message: int) -> None:
+    def record_end(self, message: int) -> None:
         """Nothing more is owed. What was noted of the message and is in no file will not be written; of one
         that is in no file at all nothing is."""
         written = self.live[message].home is not None
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -83,7 +83,7 @@
     for number in (1, 2):
         journal.record_received(kept(number))
     journal.flush()
-    journal.end(1)  # its client was refused
+    journal.record_end(1)  # its client was refused
     journal.begin_answer(2)
     journal.close()
     assert sorted(opened(tmp_path, writable=False).live) == [2]
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -80,14 +80,14 @@
 def test_a_notice_is_kept_until_it_is_over(tmp_path):
     journal = filled(tmp_path)
     journal.record_notice(1, "bounced", 300.0)
-    journal.end(2)
+    journal.record_end(2)
     journal.flush()
     again = reread(journal)
     assert list(again.live) == [1] and again.live[1].notice == ("bounced", 300.0)
     again.compact()
     again = reread(again)
     assert again.live[1].notice == ("bounced", 300.0) and again.live[1].body == b""
-    again.end(1)
+    again.record_end(1)
     again.flush()
     assert reread(again).live == {}
 
@@ -96,7 +96,7 @@
     journal = filled(tmp_path)
     journal.record_accepted(kept(9))
     journal.flush()
-    journal.end(9)
+    journal.record_end(9)
     journal.flush()
     assert reread(journal).highest == 9
 
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize("cut", range(1, 60))
 def test_a_torn_end_is_left_out_and_is_no_damage(tmp_path, cut):
     journal = filled(tmp_path)
-    journal.end(2)
+    journal.record_end(2)
     journal.flush()
     journal.close()
     (path,) = segments(tmp_path)
@@ -269,7 +269,7 @@
             journal.record_accepted(kept(number, bytes(500)))
             taken.append(number)
         else:
-            journal.end(taken.pop(chance.randrange(len(taken))))
+            journal.record_end(taken.pop(chance.randrange(len(taken))))
         journal.flush()
     assert 0.5 * DISK < files.most <= DISK
     assert len(taken) * 900 > 0.35 * DISK, "much less was held than the disk has room for"
@@ -311,7 +311,7 @@
     journal = filled(tmp_path)
     size = segments(tmp_path)[0].stat().st_size
     journal.record_accepted(kept(3))
-    journal.end(3)
+    journal.record_end(3)
     journal.flush()
     assert segments(tmp_path)[0].stat().st_size == size
 
@@ -327,7 +327,7 @@
     journal.record_accepted(kept(20, bytes(2000)))
     with pytest.raises(OSError, match="No space"):
         journal.flush()
-    journal.end(20)
+    journal.record_end(20)
     for number in range(20):
         journal.record_notice(number, "dead", 0.0)
         journal.flush()
@@ -359,7 +359,7 @@
     files = FullFiles(tmp_path, 0.0)
     again = opened(tmp_path, files=files)
     assert len(again.live) == 100
-    again.end(5)
+    again.record_end(5)
     with pytest.raises(OSError, match="No space"):
         again.flush()
     files.room = DISK
@@ -372,11 +372,11 @@
     journal.record_accepted(kept(1))
     for number in range(2, 200):
         journal.record_accepted(kept(number))
-        journal.end(number)
+        journal.record_end(number)
         journal.flush()
         journal.record_accepted(kept(1000 + number, b""))
         journal.flush()
-        journal.end(1000 + number)
+        journal.record_end(1000 + number)
         journal.flush()
         journal = reread(journal)
     assert list(journal.live) == [1] and len(segments(tmp_path)) < 70
@@ -417,7 +417,7 @@
         elif step == "owe" and message and not message.notice:
             journal.record_notice(number, "dead", 0.0)
         elif step == "end" and message:
-            journal.end(number)
+            journal.record_end(number)
         elif step in ("flush", "compact", "roll", "reopen"):
             journal.flush()
             if step == "compact":
@@ -447,11 +447,11 @@
     journal.record_notice(1, "dead", 0.0)
     journal.record_accepted(second)
     journal.flush()
-    journal.end(1)
+    journal.record_end(1)
     journal.flush()
     again = reread(journal)
     assert list(again.live) == [2] and again.live[2].body == second.body
-    again.end(2)
+    again.record_end(2)
     assert again.live_bytes == empty
 
 
@@ -502,7 +502,7 @@
 
     files.unlink = broken
     for number in range(40):
-        journal.end(number)
+        journal.record_end(number)
         journal.record_accepted(kept(100 + number, bytes(300)))
         journal.flush()
     assert sorted(seen(tmp_path).live) == list(range(100, 140))
--- a/tests/test_journal_cli.py
+++ b/tests/test_journal_cli.py
@@ -58,7 +58,7 @@
 def test_compact_wants_the_dispatcher_down(tmp_path, capsys):
     journal = journal_with(tmp_path, *range(500))
     for number in range(400):
-        journal.end(number)
+        journal.record_end(number)
     journal.flush()
     assert main(["journal", "compact", str(tmp_path)]) == 2
     assert "held by another process: stop that one first" in capsys.readouterr().err
--- a/tests/test_journal_sync.py
+++ b/tests/test_journal_sync.py
@@ -125,7 +125,7 @@
             journal.record_accepted(kept(number, bytes(300)))
             noted = {number: True}
             if number >= 8:
-                journal.end(number - 8)
+                journal.record_end(number - 8)
                 noted[number - 8] = False
             journal.flush()
             if number % 3 != 2:
@@ -136,7 +136,7 @@
                         kept(1000 + number, bytes(900))
                     )  # more comes while the group is at work
                     journal.flush()
-                    journal.end(1000 + number)
+                    journal.record_end(1000 + number)
                     journal.flush()
                 group.run()
                 group.done()
