--- a/benchmarks/json_journal.py
+++ b/benchmarks/json_journal.py
@@ -85,7 +85,7 @@
         """Nothing more is owed."""
         self.note("end", message)
 
-    def chill(self, endpoint: str, pace_per_s: float) -> None:
+    def record_cold(self, endpoint: str, pace_per_s: float) -> None:
         """The decisions take the endpoint to be cold."""
         self.note("cold", endpoint, pace_per_s)
 
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -700,7 +700,7 @@
                 self.endpoints.hang_up(endpoint)
             case api.Remember(endpoint, cold, pace_per_s):
                 if cold:
-                    self.journal.chill(endpoint, pace_per_s)
+                    self.journal.record_cold(endpoint, pace_per_s)
                 else:
                     self.journal.warm(endpoint)
                 if self.limits.counts is not None:
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -265,7 +265,7 @@
         if kept.home is not None:
             kept.home.live.pop(message, None)
 
-    def chill(self, endpoint: str, pace_per_s: float) -> None:
+    def record_cold(self, endpoint: str, pace_per_s: float) -> None:
         """The decisions take the endpoint to be cold."""
         warm_up(endpoint, self.cold, self.cold_homes)
         self.cold[endpoint] = pace_per_s
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -457,8 +457,8 @@
 
 def test_what_is_cold_is_kept_until_it_is_warm(tmp_path):
     journal = filled(tmp_path)
-    journal.chill("e1", 2.5)
-    journal.chill("e2", 1.0)
+    journal.record_cold("e1", 2.5)
+    journal.record_cold("e2", 1.0)
     journal.warm("e2")
     journal.flush()
     again = reread(journal)
--- a/tests/test_journal_cli.py
+++ b/tests/test_journal_cli.py
@@ -27,7 +27,7 @@
     journal.record_attempt(2, 0, "e2", 1_700_000_001.0)
     journal.record_outcome(2, 0, False)
     journal.record_notice(3, "bounced", 300.0)
-    journal.chill("e2", 2.5)
+    journal.record_cold("e2", 2.5)
     journal.flush()
     assert main(["journal", "inspect", str(tmp_path)]) == 0, "it works beside a running dispatcher"
     told = capsys.readouterr().out
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -165,7 +165,7 @@
 
     @with_bench(tmp_path)
     async def _(bench):
-        bench.journal.chill("e1", 2.5)
+        bench.journal.record_cold("e1", 2.5)
         bench.journal.flush()
 
     @with_bench(tmp_path)
@@ -248,7 +248,7 @@
             row = bench.row | {"id": f"n{number}", "cell": 1000 + number}
             gone = [] if full else [{"id": f"n{number - 1}", "state": "DELETED"}]
             bench.node.listing.take({"version": number, "full": full, "servers": [row, *gone]})
-            bench.journal.chill(f"n{number}", 1.0)
+            bench.journal.record_cold(f"n{number}", 1.0)
             bench.offer(Offer(b"m%d" % number, "note", 1000 + number, 6000.0, b"", key=number + 1))
             bench.node.turn()
             assert await bench.answers.get() == TAKEN
@@ -369,7 +369,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         chilled = []
-        bench.journal.chill = lambda endpoint, pace: chilled.append(endpoint)
+        bench.journal.record_cold = lambda endpoint, pace: chilled.append(endpoint)
         warmed = asyncio.Queue()
         bench.journal.warm = warmed.put_nowait
         await served(bench, 3)
