--- a/benchmarks/json_journal.py
+++ b/benchmarks/json_journal.py
@@ -89,7 +89,7 @@
         """The decisions take the endpoint to be cold."""
         self.note("cold", endpoint, pace_per_s)
 
-    def warm(self, endpoint: str) -> None:
+    def record_warm(self, endpoint: str) -> None:
         """It is warm, or gone."""
         if endpoint in self.cold:
             self.note("warm", endpoint)
--- a/rushhitch/core/listing.py
+++ b/rushhitch/core/listing.py
@@ -85,7 +85,7 @@
                 self.limits.counts.remove(name)
         if kind is not api.ListKind.CACHED:  # what was known at the start may be old
             for name in [name for name in self.journal.cold if name not in self.entries]:
-                self.journal.warm(name)
+                self.journal.record_warm(name)
         self.left = {name: at for name, at in self.left.items() if now - at <= LINGER_S}
         self.destinations |= dict.fromkeys((entry.destination for entry in self.entries.values()), now)
         for destination in [d for d, at in self.destinations.items() if now - at > LINGER_S]:
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -702,7 +702,7 @@
                 if cold:
                     self.journal.record_cold(endpoint, pace_per_s)
                 else:
-                    self.journal.warm(endpoint)
+                    self.journal.record_warm(endpoint)
                 if self.limits.counts is not None:
                     self.limits.counts.chilled(endpoint, cold)
             case api.Subscribe():
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -271,7 +271,7 @@
         self.cold[endpoint] = pace_per_s
         self.note_cold(endpoint)
 
-    def warm(self, endpoint: str) -> None:
+    def record_warm(self, endpoint: str) -> None:
         """It is warm, or gone."""
         if endpoint in self.cold:
             warm_up(endpoint, self.cold, self.cold_homes)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -459,14 +459,14 @@
     journal = filled(tmp_path)
     journal.record_cold("e1", 2.5)
     journal.record_cold("e2", 1.0)
-    journal.warm("e2")
+    journal.record_warm("e2")
     journal.flush()
     again = reread(journal)
     assert again.cold == {"e1": 2.5}
     again.compact()
     again = reread(again)
     assert again.cold == {"e1": 2.5}, "lost in a compaction"
-    again.warm("e1")
+    again.record_warm("e1")
     again.flush()
     assert reread(again).cold == {}
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -371,7 +371,7 @@
         chilled = []
         bench.journal.record_cold = lambda endpoint, pace: chilled.append(endpoint)
         warmed = asyncio.Queue()
-        bench.journal.warm = warmed.put_nowait
+        bench.journal.record_warm = warmed.put_nowait
         await served(bench, 3)
         while not chilled:
             bench.offer(Offer(b"lost%d" % bench.node.numbers, "pay", 7, 24000.0, b""))
