--- a/rushhitch/control/bans.py
+++ b/rushhitch/control/bans.py
@@ -6,7 +6,7 @@
 import logging
 
 from rushhitch.journal import Journal
-from rushhitch.journal.side import Side
+from rushhitch.journal.side import SidecarFile
 
 log = logging.getLogger(__name__)
 
@@ -18,7 +18,7 @@
     nothing changed."""
 
     def __init__(self, journal: Journal) -> None:
-        self.side = Side(journal, NAME)
+        self.side = SidecarFile(journal, NAME)
         self.ids: set[str] = set()
         content = self.side.load()
         if content is not None:
--- a/rushhitch/journal/side.py
+++ b/rushhitch/journal/side.py
@@ -16,7 +16,7 @@
 DRAFT = ".draft"  # after the name, until the whole of it is written
 
 
-class Side:
+class SidecarFile:
     """One such file: the old content or the new, never a part. A damaged one reads as none."""
 
     def __init__(self, journal: Journal, name: str) -> None:
--- a/rushhitch/journal/steady.py
+++ b/rushhitch/journal/steady.py
@@ -5,7 +5,7 @@
 import json
 import logging
 
-from rushhitch.journal.side import Side
+from rushhitch.journal.side import SidecarFile
 from rushhitch.journal.store import Journal
 
 log = logging.getLogger(__name__)
@@ -19,7 +19,7 @@
     first of them takes it from the wall clock, a small file keeps it, and the others go on with it: whichever
     way the wall clock is stepped, attempts keep their ages and messages their deadlines. Where the monotonic
     clock reads less than when the file was written, it has begun anew, and so does the steady one."""
-    side, ahead_s = Side(journal, NAME), wall_s - monotonic_s
+    side, ahead_s = SidecarFile(journal, NAME), wall_s - monotonic_s
     if (content := side.load()) is not None:
         try:
             told = json.loads(content)
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -43,7 +43,7 @@
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.journal import Journal
 from rushhitch.journal.boot import boot_id
-from rushhitch.journal.side import Side, unsealed
+from rushhitch.journal.side import SidecarFile, unsealed
 from rushhitch.journal.steady import ahead_of
 from rushhitch.partners.codec import Codec
 from rushhitch.succession.handover import Handover
@@ -536,7 +536,7 @@
     """The history of settings in its file: what messages were taken under outlasts the process."""
 
     def __init__(self, journal: Journal) -> None:
-        self.journal, self.side = journal, Side(journal, SETTINGS)
+        self.journal, self.side = journal, SidecarFile(journal, SETTINGS)
         try:
             self.history = History.read(self.side.load())
         except ValueError as error:
