--- a/rushhitch/control/bans.py
+++ b/rushhitch/control/bans.py
@@ -6,7 +6,7 @@
 import logging
 
 from rushhitch.journal import Journal
-from rushhitch.journal.side import SidecarFile
+from rushhitch.journal.sidecar import SidecarFile
 
 log = logging.getLogger(__name__)
 
--- a/rushhitch/journal/steady.py
+++ b/rushhitch/journal/steady.py
@@ -5,7 +5,7 @@
 import json
 import logging
 
-from rushhitch.journal.side import SidecarFile
+from rushhitch.journal.sidecar import SidecarFile
 from rushhitch.journal.store import Journal
 
 log = logging.getLogger(__name__)
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -43,7 +43,7 @@
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.journal import Journal
 from rushhitch.journal.boot import boot_id
-from rushhitch.journal.side import SidecarFile, unsealed
+from rushhitch.journal.sidecar import SidecarFile, unsealed
 from rushhitch.journal.steady import ahead_of
 from rushhitch.partners.codec import Codec
 from rushhitch.succession.handover import Handover
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -16,7 +16,7 @@
 from rushhitch.core.operators import Operators
 from rushhitch.journal import Journal, Sync
 from rushhitch.journal.files import Files
-from rushhitch.journal.side import DRAFT
+from rushhitch.journal.sidecar import DRAFT
 from rushhitch.partners.codec import Attempt
 from rushhitch.taker import TAKEN, Offer
 
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -32,7 +32,7 @@
 from rushhitch.connection import Connection
 from rushhitch.core.resumption import resume
 from rushhitch.journal import Journal, JournalEntry
-from rushhitch.journal.side import sealed
+from rushhitch.journal.sidecar import sealed
 from rushhitch.journal.steady import ahead_of
 from rushhitch.partners.codec import Attempt
 
