--- a/rushhitch/journal/sidecar.py
+++ b/rushhitch/journal/sidecar.py
@@ -32,7 +32,7 @@
         if not self.size:
             return None
         try:
-            content = unsealed(self.files.read(self.name))
+            content = verified_content(self.files.read(self.name))
         except OSError as error:
             log.error("%s cannot be read: %s", self.name, error)
             return None
@@ -92,6 +92,6 @@
     return b"%08x\n" % zlib.crc32(content) + content
 
 
-def unsealed(data: bytes) -> bytes | None:
+def verified_content(data: bytes) -> bytes | None:
     told, end, content = data.partition(b"\n")
     return content if end and told == b"%08x" % zlib.crc32(content) else None
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -43,7 +43,7 @@
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.journal import Journal
 from rushhitch.journal.boot import boot_id
-from rushhitch.journal.sidecar import SidecarFile, unsealed
+from rushhitch.journal.sidecar import SidecarFile, verified_content
 from rushhitch.journal.steady import ahead_of
 from rushhitch.partners.codec import Codec
 from rushhitch.succession.handover import Handover
@@ -521,7 +521,7 @@
         return read_configuration(environ)
     except BadFile as error:
         try:
-            content = unsealed((Path(environ["ROUTER_STATE"]) / SETTINGS).read_bytes())
+            content = verified_content((Path(environ["ROUTER_STATE"]) / SETTINGS).read_bytes())
             told = History.read(content).file()
             if told is None:
                 raise error
