--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -44,7 +44,7 @@
 from rushhitch.journal import Journal
 from rushhitch.journal.boot import boot_id
 from rushhitch.journal.sidecar import SidecarFile, verified_content
-from rushhitch.journal.steady import ahead_of
+from rushhitch.journal.steady_clock import ahead_of
 from rushhitch.partners.codec import Codec
 from rushhitch.succession.handover import Handover
 from rushhitch.succession.states import Do
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -89,7 +89,7 @@
 
 def test_a_monotonic_clock_that_begins_anew_does_so_for_spans_too(tmp_path):
     from rushhitch.journal import Journal
-    from rushhitch.journal.steady import ahead_of
+    from rushhitch.journal.steady_clock import ahead_of
 
     journal = Journal(tmp_path, 3e6)
     assert ahead_of(journal, 1000.0, 100.0, "one") == 900.0
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -33,7 +33,7 @@
 from rushhitch.core.resumption import resume
 from rushhitch.journal import Journal, JournalEntry
 from rushhitch.journal.sidecar import sealed
-from rushhitch.journal.steady import ahead_of
+from rushhitch.journal.steady_clock import ahead_of
 from rushhitch.partners.codec import Attempt
 
 WINDOW_S = 1.0
