--- a/rushhitch/journal/steady_clock.py
+++ b/rushhitch/journal/steady_clock.py
@@ -14,7 +14,7 @@
 STEP_S = 1.0  # a difference beyond that is told: a wall clock that is kept right drifts by less
 
 
-def ahead_of(journal: Journal, wall_s: float, monotonic_s: float, boot: str) -> float:
+def steady_clock_offset_s(journal: Journal, wall_s: float, monotonic_s: float, boot: str) -> float:
     """How far the steady clock is ahead of the monotonic one, which all processes of one boot share. The
     first of them takes it from the wall clock, a small file keeps it, and the others go on with it: whichever
     way the wall clock is stepped, attempts keep their ages and messages their deadlines. Where the monotonic
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -44,7 +44,7 @@
 from rushhitch.journal import Journal
 from rushhitch.journal.boot import boot_id
 from rushhitch.journal.sidecar import SidecarFile, verified_content
-from rushhitch.journal.steady_clock import ahead_of
+from rushhitch.journal.steady_clock import steady_clock_offset_s
 from rushhitch.partners.codec import Codec
 from rushhitch.succession.handover import Handover
 from rushhitch.succession.states import Do
@@ -139,7 +139,7 @@
             bans,
             kept.history,
         )
-        node.ahead_s = ahead_of(journal, time.time(), time.monotonic(), boot_id())
+        node.ahead_s = steady_clock_offset_s(journal, time.time(), time.monotonic(), boot_id())
         kept.take(configuration, node)
         self.kept = kept
         self.handshake = make_handshake(node, configuration.own)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -89,10 +89,10 @@
 
 def test_a_monotonic_clock_that_begins_anew_does_so_for_spans_too(tmp_path):
     from rushhitch.journal import Journal
-    from rushhitch.journal.steady_clock import ahead_of
+    from rushhitch.journal.steady_clock import steady_clock_offset_s
 
     journal = Journal(tmp_path, 3e6)
-    assert ahead_of(journal, 1000.0, 100.0, "one") == 900.0
-    assert ahead_of(journal, 5000.0, 110.0, "one") == 900.0, "the wall clock was set forward"
-    assert ahead_of(journal, 1020.0, 5.0, "one") == 1015.0, "the same name, and another run"
+    assert steady_clock_offset_s(journal, 1000.0, 100.0, "one") == 900.0
+    assert steady_clock_offset_s(journal, 5000.0, 110.0, "one") == 900.0, "the wall clock was set forward"
+    assert steady_clock_offset_s(journal, 1020.0, 5.0, "one") == 1015.0, "the same name, and another run"
     journal.close()
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -33,7 +33,7 @@
 from rushhitch.core.resumption import resume
 from rushhitch.journal import Journal, JournalEntry
 from rushhitch.journal.sidecar import sealed
-from rushhitch.journal.steady_clock import ahead_of
+from rushhitch.journal.steady_clock import steady_clock_offset_s
 from rushhitch.partners.codec import Attempt
 
 WINDOW_S = 1.0
@@ -264,7 +264,7 @@
 
     def begin(self):
         node, clock, turn = self.node, self.outside.time, self.node.turn
-        node.ahead_s = ahead_of(node.journal, clock.wall + clock.now, clock.now, self.boot)
+        node.ahead_s = steady_clock_offset_s(node.journal, clock.wall + clock.now, clock.now, self.boot)
 
         def late():
             clock.now += self.late_s  # nothing else runs meanwhile
@@ -340,10 +340,12 @@
         (tmp_path / "clock").write_bytes(sealed(b'{"boot":"one"}'))
     else:
         (tmp_path / "clock").write_bytes(spoilt)
-    assert ahead_of(journal, 1000.0, 10.0, "one") == 990.0
-    assert ahead_of(journal, 900.0, 20.0, "one") == 990.0, "the wall clock was set back meanwhile"
-    assert ahead_of(journal, 900.0, 20.0, "two") == 880.0
-    assert ahead_of(journal, 900.0, 20.0, "") == 880.0, "the system does not tell its boot"
+    assert steady_clock_offset_s(journal, 1000.0, 10.0, "one") == 990.0
+    assert steady_clock_offset_s(journal, 900.0, 20.0, "one") == 990.0, (
+        "the wall clock was set back meanwhile"
+    )
+    assert steady_clock_offset_s(journal, 900.0, 20.0, "two") == 880.0
+    assert steady_clock_offset_s(journal, 900.0, 20.0, "") == 880.0, "the system does not tell its boot"
     journal.close()
 
 
