--- a/rushhitch/core/state_transfer.py
+++ b/rushhitch/core/state_transfer.py
@@ -30,7 +30,7 @@
         await node.endpoints.freeze()
         node.turn()
         await node.committer.quiet()
-        return not node.journal.unsaved
+        return not node.journal.has_unwritten_records
 
     async def end_calls(self) -> None:
         """This process ends and no other carries its calls on. All that they prove is in the journal before
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -301,10 +301,10 @@
         cost = RECORD_ROOM + body
         fits = self.used + cost <= self.space.take_most and self.live_bytes + cost <= self.space.live_most
         kept_back = self.reserve == self.space.reserve and self.answers.fd >= 0
-        return fits and not self.unsaved and kept_back
+        return fits and not self.has_unwritten_records and kept_back
 
     @property
-    def unsaved(self) -> bool:
+    def has_unwritten_records(self) -> bool:
         """Something noted is in no file, since the disk did not take it."""
         return self.failing and bool(self.pending)
 
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -361,7 +361,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(Journal, "append", full)
             assert await bank.acknowledge() == (503, "refused")
-        while bank.journal.unsaved:
+        while bank.journal.has_unwritten_records:
             await asyncio.sleep(0.01)
         assert await bank.acknowledge() == (200, "acknowledged")
         assert bank.quiet()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -283,11 +283,11 @@
     journal.record_accepted(kept(3))
     with pytest.raises(OSError, match="No space"):
         journal.flush()
-    assert journal.unsaved and not journal.has_room(1)
+    assert journal.has_unwritten_records and not journal.has_room(1)
     journal.record_accepted(kept(4))
     journal.files = Files(tmp_path)
     journal.flush()
-    assert not journal.unsaved
+    assert not journal.has_unwritten_records
     live = journal.live
     again = seen(tmp_path)
     assert again.live == live and again.report.clean and 3 in live
--- a/tests/test_journal_crash.py
+++ b/tests/test_journal_crash.py
@@ -234,7 +234,7 @@
             settle(outside)
             outside.check()
             assert b"m%d" % number in outside.delivered, "the journal did not heal"
-            assert not life.journal.unsaved
+            assert not life.journal.has_unwritten_records
             files.die()
 
         virtual(work)
--- a/tests/test_journal_sync.py
+++ b/tests/test_journal_sync.py
@@ -219,7 +219,7 @@
         files.sync = broken
         journal.record_accepted(kept(2))
         assert await commit() == "failed"
-        assert journal.unsaved and not journal.has_room(1)
+        assert journal.has_unwritten_records and not journal.has_room(1)
         files.sync = sync
         assert await commit() == "done"
         committer.close()
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -486,7 +486,7 @@
 
         monkeypatch.setattr(bench.journal.files, "write", full)
         request.answer(200)
-        await until(lambda: bench.journal.unsaved)
+        await until(lambda: bench.journal.has_unwritten_records)
         assert not await StateTransfer(bench.node).freeze(), "an end that no file has would be forgotten"
         monkeypatch.undo()
         assert await StateTransfer(bench.node).freeze()
