--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -142,7 +142,7 @@
         return {
             "newest": self.numbers,
             "held": len(self.by_id),
-            "unanswered": len(self.journal.unaccepted),
+            "unanswered": len(self.journal.unanswered),
             "out": len(self.endpoints.calls),
             "notices": len(self.notices),
             "refused_effects": self.lifecycle.refused.total(),
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -105,7 +105,7 @@
         self.space, self.sync, self.clock = Space(disk_bytes), sync, clock
         self.boot = form.boot_mark(boot_id() if boot is None else boot)
         self.live: dict[int, JournalEntry] = {}
-        self.unaccepted: set[int] = set()  # of `live`: recorded, and not known to have been answered
+        self.unanswered: set[int] = set()  # of `live`: recorded, and not known to have been answered
         self.in_doubt: list[int] = []  # of these, as replay left them: their clients may have been answered
         self.marks: Marks | None = None  # what the answer file said at the start
         self.answers = AnswerFile(self.files)
@@ -175,7 +175,7 @@
 
     def record_received(self, kept: JournalEntry) -> None:
         """The message came in; its client has no answer yet. After a kill it is dropped."""
-        self.unaccepted.add(kept.number)
+        self.unanswered.add(kept.number)
         self.live[kept.number] = kept
         self.live_bytes += self.cost(kept)
         self.highest = max(self.highest, kept.number)
@@ -185,7 +185,7 @@
         """The client of a recorded message is about to be told that it is accepted. Raises `OSError` where
         the disk does not take that: then nobody may be told. What was noted goes first: behind this, all
         messages before it count as answered but for those that the journal says have ended."""
-        if number in self.unaccepted and self.sync is not Sync.NONE:
+        if number in self.unanswered and self.sync is not Sync.NONE:
             self.note(number, form.ACCEPT, form.NUMBER.pack(number))
         if self.pending:
             self.flush(sync=False)
@@ -198,11 +198,11 @@
             self.answers.done(number)
         except OSError as error:
             log.error("the journal's answers cannot be written: %s", error)
-        self.unaccepted.discard(number)
+        self.unanswered.discard(number)
 
     def note_whole(self, kept: JournalEntry) -> None:
         """Note all that is known of a live message, in one record."""
-        early = kept.number in self.unaccepted
+        early = kept.number in self.unanswered
         if early and self.sync is not Sync.NONE:
             self.note(kept.number, form.OFFER, self.boot + form.message_payload(kept))
         else:
@@ -260,7 +260,7 @@
 
     def drop(self, message: int) -> None:
         kept = self.live.pop(message)
-        self.unaccepted.discard(message)
+        self.unanswered.discard(message)
         self.live_bytes -= self.cost(kept)
         if kept.home is not None:
             kept.home.live.pop(message, None)
@@ -724,7 +724,7 @@
         for kept in self.dropped:
             self.drop(kept.number)
         self.in_doubt = settled.in_doubt
-        self.unaccepted |= set(settled.in_doubt)
+        self.unanswered |= set(settled.in_doubt)
         if self.marks is not None:
             self.highest = max(self.highest, self.marks.answering)
 
