--- a/rushhitch/core/messages.py
+++ b/rushhitch/core/messages.py
@@ -75,7 +75,7 @@
     def awaits_outcome(self) -> bool:
         """Whether a call that has gone out, of this process or one that it goes on for, may still be answered
         or acknowledged. One that was out at a kill is not: nobody waits for its answer."""
-        return self.kept.handed is not None or not self.out.isdisjoint(self.kept.out)
+        return self.kept.awaiting_ack is not None or not self.out.isdisjoint(self.kept.out)
 
     @property
     def over(self) -> bool:
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -438,7 +438,7 @@
             elif not message.handed:
                 self.note(api.Withdrawn(message.number))
         elif found in (Acknowledged.RETRY, Acknowledged.AWAIT):
-            (attempt,) = (kept.handed,) if message.handed else message.out
+            (attempt,) = (kept.awaiting_ack,) if message.handed else message.out
             if told.verdict is Verdict.NOT_RUN:
                 self.journal.record_not_run(message.number, attempt, told.mark)
             else:
--- a/rushhitch/core/resumption.py
+++ b/rushhitch/core/resumption.py
@@ -79,7 +79,7 @@
     if loans:
         message.out |= {loan.attempt for loan in loans}
         node.arrive(message, loans)
-    elif kept.handed is not None and node.acknowledges(kept.destination) and not node.ordered(kept):
+    elif kept.awaiting_ack is not None and node.acknowledges(kept.destination) and not node.ordered(kept):
         node.hand_over(message)
     else:
         node.arrive(message, untried=not kept.attempts)
--- a/rushhitch/journal/format.py
+++ b/rushhitch/journal/format.py
@@ -83,7 +83,7 @@
     taken_at: float = 0.0
     remember: bool = False  # its identity outlasts its end: then `notice` may be "delivered" or "failed"
     attributes: bytes = b""  # of an event, a JSON object
-    handed: int | None = None  # the attempt that was answered, of which an acknowledgement is to come
+    awaiting_ack: int | None = None  # the attempt that was answered, of which an acknowledgement is to come
     marks: list[bytes] = field(default_factory=list)  # of acknowledgements by which an attempt never ran
     tenant: str = ""
     idempotency: bytes = b""  # the key by which its endpoint knows a repeat
@@ -94,8 +94,8 @@
     def attempt_ended(self, number: int, may_have_run: bool) -> None:
         """The outcome of an attempt that was out."""
         where = self.out.pop(number, None)
-        if self.handed == number:
-            self.handed = None
+        if self.awaiting_ack == number:
+            self.awaiting_ack = None
         if where is not None and may_have_run and (self.ran is None or where[1] < self.ran[1]):
             self.ran = where
 
@@ -125,8 +125,8 @@
     if kept.out or kept.ran or kept.notice or kept.marks or any(named):
         flags |= TRIED
         tried: list[Any] = [kept.ran, list(kept.out.items()), kept.notice]
-        if kept.handed is not None or kept.marks or any(named):
-            tried += [kept.handed, [mark.hex() for mark in kept.marks]]
+        if kept.awaiting_ack is not None or kept.marks or any(named):
+            tried += [kept.awaiting_ack, [mark.hex() for mark in kept.marks]]
         if any(named):  # last, where builds that do not know of them pass over them
             tried += named
         told = json.dumps(tried, separators=(",", ":")).encode()
--- a/rushhitch/journal/inspect.py
+++ b/rushhitch/journal/inspect.py
@@ -33,7 +33,7 @@
         return "never"
     told = [f"{kept.attempts}x"]
     for number, (where, at) in kept.out.items():
-        state = "answered, to be acknowledged by" if number == kept.handed else "out at"
+        state = "answered, to be acknowledged by" if number == kept.awaiting_ack else "out at"
         told.append(f"{state} {where} for {span(now - at)}")
     if kept.ran is not None:
         where, at = kept.ran
--- a/rushhitch/journal/replay.py
+++ b/rushhitch/journal/replay.py
@@ -156,7 +156,7 @@
             if number in kept.out:
                 kept.attempt_ended(number, bool(may_have_run))
         elif kind == form.HANDED:
-            kept.handed = form.HANDED_HEAD.unpack(payload)[1]
+            kept.awaiting_ack = form.HANDED_HEAD.unpack(payload)[1]
         elif kind == form.DENIED:
             _, number = form.HANDED_HEAD.unpack_from(payload)
             if number in kept.out:
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -217,7 +217,7 @@
 
     def record_awaiting_ack(self, message: int, number: int) -> None:
         """The attempt was answered and stays out: an acknowledgement is to come."""
-        self.live[message].handed = number
+        self.live[message].awaiting_ack = number
         self.note(message, form.HANDED, form.HANDED_HEAD.pack(message, number))
 
     def record_not_run(self, message: int, number: int, mark: bytes) -> None:
