--- a/rushhitch/core/resumption.py
+++ b/rushhitch/core/resumption.py
@@ -30,7 +30,7 @@
     for kept in node.journal.dropped:
         node.start_report.add(kept, Found.UNANSWERED)
     in_doubt = set(node.journal.in_doubt)
-    for kept in node.journal.messages():  # in the order of taking, which some classes keep
+    for kept in node.journal.entries():  # in the order of taking, which some classes keep
         state = found(kept, node.steady(), in_doubt)
         if kept.cls not in node.classes and node.history.terms(kept.number, kept.cls) is None:
             if state not in (Found.IN_DOUBT, Found.REMEMBERED, Found.TO_BE_NOTIFIED):
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -788,6 +788,6 @@
         self.used -= on_disk(names[legacy.NAME])
         log.info("the journal of an earlier build was carried over: %d messages", len(self.live))
 
-    def messages(self) -> list[JournalEntry]:
+    def entries(self) -> list[JournalEntry]:
         """What is live, in the order of taking: `live` has what compaction copied behind the rest."""
         return sorted(self.live.values(), key=lambda kept: kept.number)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -354,7 +354,7 @@
     node.journal.close()
     for sock in (partner, listener):
         sock.close()
-    return [kept.ran is not None for kept in Journal(folder, 3e6, writable=False).messages()]
+    return [kept.ran is not None for kept in Journal(folder, 3e6, writable=False).entries()]
 
 
 WHOLE = b"HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n"
