--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -78,7 +78,7 @@
     while len(journal.live) < most and journal.has_room(body):
         number = len(journal.live) + 1
         message = JournalEntry(
-            number, b"%016x" % number, "note", number % 8, now + LEFT_S, bytes(body), taken_at=now
+            number, b"%016x" % number, "note", number % 8, now + LEFT_S, bytes(body), accepted_at=now
         )
         journal.record_accepted(message)
         if number % 3 == 0:
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -234,7 +234,7 @@
             offer.body,
             offer.key,
             offer.again,
-            taken_at=self.steady(),
+            accepted_at=self.steady(),
             remember=offer.remember,
             attributes=offer.attributes,
             tenant=offer.tenant,
@@ -781,7 +781,7 @@
         now = self.steady()
         most = self.settings.classes[self.classes[told.cls]].deadline_ms / 1000.0
         words = (told.id, told.cls, told.destination, now + most, told.body)
-        kept = JournalEntry(self.numbers, *words, taken_at=now, attributes=told.attributes)
+        kept = JournalEntry(self.numbers, *words, accepted_at=now, attributes=told.attributes)
         self.journal.record_accepted(kept)
         self.arrive(self.enter(kept))
 
--- a/rushhitch/journal/format.py
+++ b/rushhitch/journal/format.py
@@ -80,7 +80,7 @@
     out: dict[int, tuple[str, float]] = field(default_factory=dict)  # attempts with no outcome: where, when
     ran: tuple[str, float] | None = None  # the first attempt that had an outcome and may have run
     notice: tuple[str, float] | None = None  # it has ended; the platform has yet to be told how
-    taken_at: float = 0.0
+    accepted_at: float = 0.0
     remember: bool = False  # its identity outlasts its end: then `notice` may be "delivered" or "failed"
     attributes: bytes = b""  # of an event, a JSON object
     awaiting_ack: int | None = None  # the attempt that was answered, of which an acknowledgement is to come
@@ -137,7 +137,7 @@
     head = MESSAGE_HEAD.pack(
         kept.number,
         kept.deadline,
-        kept.taken_at,
+        kept.accepted_at,
         kept.destination,
         kept.attempts,
         flags,
@@ -154,7 +154,7 @@
 
 def read_message(payload: bytes, classes: dict[bytes, str]) -> JournalEntry:
     """The message of a record; `classes` keeps one string for each class's name."""
-    number, deadline, taken_at, destination, attempts, flags, id_size, cls_size = MESSAGE_HEAD.unpack_from(
+    number, deadline, accepted_at, destination, attempts, flags, id_size, cls_size = MESSAGE_HEAD.unpack_from(
         payload
     )
     at = MESSAGE_HEAD.size + id_size
@@ -200,7 +200,7 @@
         out,
         ran,
         notice,
-        taken_at,
+        accepted_at,
         flags & REMEMBERED > 0,
         attributes,
         handed,
--- a/rushhitch/journal/inspect.py
+++ b/rushhitch/journal/inspect.py
@@ -47,7 +47,7 @@
     """One line for each live message, and what the folder holds."""
     rows = [("number", "id", "class", "dest", "since", "time left", "bytes", "tried", "owed")]
     for kept in journal.entries():
-        since = span(now - kept.taken_at) if kept.taken_at else "?"
+        since = span(now - kept.accepted_at) if kept.accepted_at else "?"
         left = span(kept.deadline - now)
         name = kept.id.decode("latin-1")
         rows.append(
--- a/rushhitch/journal/replay.py
+++ b/rushhitch/journal/replay.py
@@ -109,8 +109,8 @@
         for kept in self.live.values():
             if kept.notice is None:
                 self.report.doubted += 1
-                if kept.ran is None or kept.taken_at < kept.ran[1]:
-                    kept.ran = ("", kept.taken_at)
+                if kept.ran is None or kept.accepted_at < kept.ran[1]:
+                    kept.ran = ("", kept.accepted_at)
                 kept.attempts = max(kept.attempts, 1)
 
     def apply(self, segment: Segment, kind: int, payload: bytes, classes: dict[bytes, str]) -> None:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -14,7 +14,7 @@
 
 
 def kept(number):
-    return JournalEntry(number, b"m%d" % number, "pay", 7, 2e9, b"a body", taken_at=1.9e9)
+    return JournalEntry(number, b"m%d" % number, "pay", 7, 2e9, b"a body", accepted_at=1.9e9)
 
 
 def opened(folder, boot=BOOT, **told):
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -20,7 +20,7 @@
 
 def kept(number=1, body=b"\x00\r\n\xff"):
     return JournalEntry(
-        number, b"m%d" % number, "pay", 7, 1_800_000_000.5, body, 3, True, taken_at=1_799_999_990.0
+        number, b"m%d" % number, "pay", 7, 1_800_000_000.5, body, 3, True, accepted_at=1_799_999_990.0
     )
 
 
@@ -136,7 +136,9 @@
     again = opened(tmp_path)
     assert sorted(again.live) == [1, 3]
     assert again.report.lost == 1 and again.report.damaged > 14 and not again.report.clean
-    assert again.live[1].first_run == ("", kept().taken_at), "an attempt may have been lost: it may have run"
+    assert again.live[1].first_run == ("", kept().accepted_at), (
+        "an attempt may have been lost: it may have run"
+    )
     assert again.live[3].first_run is None, "it was taken on after the lost record"
     assert "1 records lost" in caplog.text
     again.compact()
@@ -145,7 +147,7 @@
     assert len(aside) == 1 and b"the sec0nd one" in aside[0].read_bytes()
     last = reread(again)
     assert sorted(last.live) == [1, 3] and last.report.clean, "the doubt is kept, the damage is not"
-    assert last.live[1].first_run == ("", kept().taken_at)
+    assert last.live[1].first_run == ("", kept().accepted_at)
 
 
 def test_a_damaged_file_is_not_kept_where_the_disk_has_no_room(tmp_path):
--- a/tests/test_journal_cli.py
+++ b/tests/test_journal_cli.py
@@ -14,7 +14,7 @@
     for number in numbers:
         journal.record_accepted(
             JournalEntry(
-                number, b"m%d" % number, "pay", 7, 2_000_000_000.0, b"body", taken_at=1_700_000_000.0
+                number, b"m%d" % number, "pay", 7, 2_000_000_000.0, b"body", accepted_at=1_700_000_000.0
             )
         )
     journal.flush()
--- a/tests/test_journal_sync.py
+++ b/tests/test_journal_sync.py
@@ -16,7 +16,7 @@
 
 
 def kept(number, body=b"a body"):
-    return JournalEntry(number, b"m%d" % number, "pay", 7, 1_900_000_000.0, body, taken_at=1_800_000_000.0)
+    return JournalEntry(number, b"m%d" % number, "pay", 7, 1_900_000_000.0, body, accepted_at=1_800_000_000.0)
 
 
 class CutAt(PowerCutFiles):
