--- a/rushhitch/core/state_transfer.py
+++ b/rushhitch/core/state_transfer.py
@@ -29,7 +29,7 @@
         node.lifecycle.enter(Phase.QUIESCING)
         await node.endpoints.freeze()
         node.turn()
-        await node.committer.quiet()
+        await node.committer.wait_until_idle()
         return not node.journal.has_unwritten_records
 
     async def end_calls(self) -> None:
@@ -38,7 +38,7 @@
         await self.node.endpoints.hear_out()
         self.node.lifecycle.enter(Phase.CLOSED)
         self.node.turn()  # who handed something in meanwhile is answered, too
-        await self.node.committer.quiet()
+        await self.node.committer.wait_until_idle()
 
     def yield_all(
         self, report: Callable[[Result], None], abandon: Callable[[int, str], None]
--- a/rushhitch/journal/commit.py
+++ b/rushhitch/journal/commit.py
@@ -78,7 +78,7 @@
             self.journal.tend()
         self.syncing = None
 
-    async def quiet(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Until nothing waits for the disk."""
         while self.syncing is not None:
             await asyncio.wait([self.syncing])
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -332,7 +332,7 @@
         assert told.empty()
         files.left = 1
         assert await told.get() == "done"
-        await committer.quiet()
+        await committer.wait_until_idle()
         committer.close()
         journal.close()
 
