--- a/lab/disk.py
+++ b/lab/disk.py
@@ -93,8 +93,8 @@
         self.count += 1
         self.act(lambda: super(CountingFiles, self).unlink(name))
 
-    def twin(self, fd: int) -> int:
-        other = super().twin(fd)
+    def duplicate(self, fd: int) -> int:
+        other = super().duplicate(fd)
         self.fds.add(other)
         return other
 
@@ -229,8 +229,8 @@
         self.change(**{name: self.open[fd]})
         return fd
 
-    def twin(self, fd: int) -> int:
-        other = super().twin(fd)
+    def duplicate(self, fd: int) -> int:
+        other = super().duplicate(fd)
         self.open[other] = self.open[fd]
         return other
 
--- a/rushhitch/journal/files.py
+++ b/rushhitch/journal/files.py
@@ -76,7 +76,7 @@
         finally:
             os.close(fd)
 
-    def twin(self, fd: int) -> int:
+    def duplicate(self, fd: int) -> int:
         """Another descriptor of the same open file."""
         return os.dup(fd)
 
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -476,7 +476,7 @@
         parts: list[tuple[Segment, int, int]] = []
         try:
             for segment in due:
-                parts.append((segment, self.files.twin(segment.fd), segment.size))
+                parts.append((segment, self.files.duplicate(segment.fd), segment.size))
         except OSError:
             for _, fd, _ in parts:
                 self.files.close(fd)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -317,10 +317,10 @@
     class Few(Files):
         left = 0
 
-        def twin(self, fd):
+        def duplicate(self, fd):
             if not self.left:
                 raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
-            return super().twin(fd)
+            return super().duplicate(fd)
 
     async def work():
         files = Few(tmp_path)
