--- a/lab/disk.py
+++ b/lab/disk.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from rushhitch.journal.files import Files, on_disk
+from rushhitch.journal.files import Files, allocated_size
 
 
 class Crash(BaseException):
@@ -31,7 +31,7 @@
     def act(self, work: Callable[[], Any]) -> Any:
         """One operation; subclasses put their faults here."""
         result = work()
-        held = sum(on_disk(size) for size in self.names().values())
+        held = sum(allocated_size(size) for size in self.names().values())
         self.most = max(self.most, held)
         assert held <= self.limit, f"the folder holds {held} bytes, more than {self.limit:g}"
         return result
@@ -174,8 +174,8 @@
 
     def act_write(self, fd: int, data: bytes | memoryview) -> int:
         size = os.fstat(fd).st_size
-        others = sum(on_disk(held) for held in self.names().values()) - on_disk(size)
-        fits = int(max(self.room - others, on_disk(size))) - size
+        others = sum(allocated_size(held) for held in self.names().values()) - allocated_size(size)
+        fits = int(max(self.room - others, allocated_size(size))) - size
         if fits <= 0:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         return super().act_write(fd, data[:fits])
--- a/rushhitch/journal/files.py
+++ b/rushhitch/journal/files.py
@@ -12,7 +12,7 @@
 MODE = 0o600  # bodies are payment orders: nobody else reads them
 
 
-def on_disk(size: int) -> int:
+def allocated_size(size: int) -> int:
     """Bytes that a file of this size counts for: whole blocks."""
     return -(-size // BLOCK) * BLOCK
 
--- a/rushhitch/journal/sidecar.py
+++ b/rushhitch/journal/sidecar.py
@@ -8,7 +8,7 @@
 import os
 import zlib
 
-from rushhitch.journal.files import on_disk
+from rushhitch.journal.files import allocated_size
 from rushhitch.journal.store import Journal, Sync
 
 log = logging.getLogger(__name__)
@@ -25,7 +25,7 @@
         self.size = names.get(name, 0)
         if name + DRAFT in names:  # its writer was killed
             self.files.unlink(name + DRAFT)
-            journal.used -= on_disk(names[name + DRAFT])
+            journal.used -= allocated_size(names[name + DRAFT])
 
     def load(self) -> bytes | None:
         """The content; None where there is none to trust, with a line in the log if it is damaged."""
@@ -55,8 +55,8 @@
 
     def replace(self, data: bytes) -> None:
         """Write the whole of it beside the old one, and rename."""
-        if self.journal.used + on_disk(len(data)) > self.journal.space.disk:
-            self.journal.set_free(on_disk(len(data)))
+        if self.journal.used + allocated_size(len(data)) > self.journal.space.disk:
+            self.journal.set_free(allocated_size(len(data)))
         draft = self.name + DRAFT
         fd = self.files.create(draft)
         try:
@@ -72,7 +72,7 @@
             with contextlib.suppress(OSError):
                 self.files.unlink(draft)
             raise
-        self.journal.used += on_disk(len(data)) - on_disk(self.size)
+        self.journal.used += allocated_size(len(data)) - allocated_size(self.size)
         self.size = len(data)
 
     def put_back(self, before: bytes | None) -> None:
@@ -82,7 +82,7 @@
                 self.replace(before)
                 return
             self.files.unlink(self.name)
-            self.journal.used -= on_disk(self.size)
+            self.journal.used -= allocated_size(self.size)
             self.size = 0
         except OSError as error:
             log.error("%s: a change that was refused may hold from the next start on: %s", self.name, error)
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -25,7 +25,7 @@
 from rushhitch.journal.answers import SIZE as ANSWERS_SIZE
 from rushhitch.journal.answers import AnswerFile, Marks, read_marks
 from rushhitch.journal.boot import boot_id
-from rushhitch.journal.files import BLOCK, Files, on_disk
+from rushhitch.journal.files import BLOCK, Files, allocated_size
 from rushhitch.journal.format import FolderInUseError, JournalEntry
 from rushhitch.journal.replay import Replay, Report
 from rushhitch.journal.segments import PREFIX, Segment, warm_up
@@ -345,7 +345,7 @@
                 size += len(entry[3])
         data = b"".join([fresh, *[entry[3] for entry in batch]])
         if self.used + len(data) + BLOCK > self.space.disk:
-            self.set_free(on_disk(size) - on_disk(segment.size))
+            self.set_free(allocated_size(size) - allocated_size(segment.size))
         written = self.append(segment, data)
         if written == len(data):
             self.note_written(segment, batch)
@@ -424,7 +424,9 @@
         return written
 
     def grow(self, segment: Segment, size: int) -> None:
-        self.used += (-(-size // BLOCK) - -(-segment.size // BLOCK)) * BLOCK  # `on_disk`, at every write
+        self.used += (
+            -(-size // BLOCK) - -(-segment.size // BLOCK)
+        ) * BLOCK  # `allocated_size`, at every write
         segment.size = size
 
     def cut(self, segment: Segment, size: int) -> None:
@@ -513,7 +515,7 @@
         if self.reserve:
             with contextlib.suppress(OSError):
                 self.files.unlink(RESERVE)
-            self.used -= on_disk(self.reserve)
+            self.used -= allocated_size(self.reserve)
             self.reserve = 0
         self.reserve_due = self.clock() + RETRY_RESERVE_S
         self.drop_aside()
@@ -541,7 +543,7 @@
         if self.reserve == size or self.clock() < self.reserve_due:
             return
         self.reserve_due = self.clock() + RETRY_RESERVE_S
-        if self.used + on_disk(size) > self.space.disk:
+        if self.used + allocated_size(size) > self.space.disk:
             return
         try:
             fd = self.files.create(RESERVE)
@@ -553,7 +555,7 @@
             written = 0
         if written == size:
             self.reserve = size
-            self.used += on_disk(size)
+            self.used += allocated_size(size)
         else:
             with contextlib.suppress(OSError):
                 self.files.unlink(RESERVE)
@@ -568,7 +570,7 @@
             if not size and self.used + ANSWERS_SIZE > self.space.disk:
                 return
             self.answers.open(self.identity, self.marks_to_go_on_from())
-            self.used += ANSWERS_SIZE - on_disk(size)
+            self.used += ANSWERS_SIZE - allocated_size(size)
         except OSError as error:
             log.error("the journal's answers cannot be kept, nothing is taken on: %s", error)
 
@@ -663,11 +665,11 @@
             self.seal(oldest)
             if oldest.damaged and self.used + oldest.size < self.space.compact_from:
                 self.files.rename(oldest.name, ASIDE + oldest.name)
-                self.aside[ASIDE + oldest.name] = on_disk(oldest.size)
+                self.aside[ASIDE + oldest.name] = allocated_size(oldest.size)
                 log.warning("journal: the damaged file is kept as %s", ASIDE + oldest.name)
             else:
                 self.files.unlink(oldest.name)
-                self.used -= on_disk(oldest.size)
+                self.used -= allocated_size(oldest.size)
             self.segments.pop(0)
             self.unlinked = (
                 self.sync is not Sync.NONE
@@ -699,9 +701,9 @@
     def replay(self) -> None:
         """Learn what is live from the files; changes nothing."""
         names = self.files.names()
-        self.used = sum(on_disk(size) for size in names.values())
+        self.used = sum(allocated_size(size) for size in names.values())
         self.reserve = names.get(RESERVE, 0)
-        self.aside = {name: on_disk(size) for name, size in names.items() if name.startswith(ASIDE)}
+        self.aside = {name: allocated_size(size) for name, size in names.items() if name.startswith(ASIDE)}
         if legacy.NAME in names:
             self.live, self.cold, bad = legacy.read(self.files.read(legacy.NAME))
             self.report.carried, self.report.lost = len(self.live), bad
@@ -735,7 +737,7 @@
         for name in (legacy.DRAFT, *([RESERVE] if self.reserve != self.space.reserve else [])):
             if name in names:
                 self.files.unlink(name)
-                self.used -= on_disk(names[name])
+                self.used -= allocated_size(names[name])
                 if name == RESERVE:
                     self.reserve = 0
         if self.report.damaged or self.report.lost or self.report.unreadable:
@@ -758,7 +760,7 @@
             self.files.sync_folder()
         for segment in [s for s in self.segments if s.size < form.HEADER_SIZE]:
             self.files.unlink(segment.name)
-            self.used -= on_disk(segment.size)
+            self.used -= allocated_size(segment.size)
             self.segments.remove(segment)
         for kept in self.dropped:  # before any later answer, behind which they would count as answered
             self.note(kept.number, form.END, form.NUMBER.pack(kept.number))
@@ -774,7 +776,7 @@
         """Bring the JSON journal over: its file goes last, and until then it alone counts."""
         for name in (n for n in names if n.startswith(PREFIX)):
             self.files.unlink(name)
-            self.used -= on_disk(names[name])
+            self.used -= allocated_size(names[name])
         self.identity = os.urandom(16)
         for endpoint in self.cold:
             self.note_cold(endpoint)
@@ -785,7 +787,7 @@
         if self.sync is not Sync.NONE:
             self.sync_now()
         self.files.unlink(legacy.NAME)
-        self.used -= on_disk(names[legacy.NAME])
+        self.used -= allocated_size(names[legacy.NAME])
         log.info("the journal of an earlier build was carried over: %d messages", len(self.live))
 
     def entries(self) -> list[JournalEntry]:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -12,7 +12,7 @@
 from lab.disk import CountingFiles, FailingFiles, FullFiles
 from rushhitch.journal import Journal, JournalEntry, JournalError, Sync, store
 from rushhitch.journal import format as form
-from rushhitch.journal.files import Files, on_disk
+from rushhitch.journal.files import Files, allocated_size
 
 DISK = 300_000
 JSON_LINES = Path(__file__).parent / "data" / "journal-of-json-lines"
@@ -275,7 +275,9 @@
         journal.flush()
     assert 0.5 * DISK < files.most <= DISK
     assert len(taken) * 900 > 0.35 * DISK, "much less was held than the disk has room for"
-    assert journal.used == sum(on_disk(size) for size in files.names().values()), "the accounts are wrong"
+    assert journal.used == sum(allocated_size(size) for size in files.names().values()), (
+        "the accounts are wrong"
+    )
     assert sorted(reread(journal).live) == taken
 
 
@@ -325,7 +327,7 @@
     for number in range(20):
         journal.record_accepted(kept(number, bytes(500)))
     journal.flush()
-    files.room = sum(on_disk(size) for size in files.names().values())
+    files.room = sum(allocated_size(size) for size in files.names().values())
     journal.record_accepted(kept(20, bytes(2000)))
     with pytest.raises(OSError, match="No space"):
         journal.flush()
--- a/tests/test_journal_crash.py
+++ b/tests/test_journal_crash.py
@@ -11,7 +11,7 @@
 from crowpier.interface import Arrived
 from lab.disk import HOWS, CountingFiles, Crash, CrashingFiles, FailingFiles, FullFiles
 from rushhitch.journal import Journal, JournalEntry
-from rushhitch.journal.files import on_disk
+from rushhitch.journal.files import allocated_size
 
 MESSAGES = 60
 ROOM = 60_000.0  # bytes of disk: for their identities too
@@ -282,7 +282,7 @@
 
         def filled():
             if life.journal.segments[0].live and files.room == DISK:
-                files.room = sum(on_disk(size) for size in files.names().values())
+                files.room = sum(allocated_size(size) for size in files.names().values())
             return step()
 
         life.journal.step = filled
