--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -112,7 +112,7 @@
         self.numbers = journal.highest
         self.committer = Committer(journal)
         self.notices: list[PendingNotice] = []  # to be told once the journal tells of them
-        self.ended = Ended(min(MOST, int(ENDED_SHARE * journal.space.live_most / RECORD_ROOM)))
+        self.ended = Ended(min(MOST, int(ENDED_SHARE * journal.space.max_live_bytes / RECORD_ROOM)))
         self.sinks: Sinks | None = None  # where clients may have ends told by messages of our own
         self.past = Past()
         self.start_report = StartReport()
--- a/rushhitch/journal/space.py
+++ b/rushhitch/journal/space.py
@@ -1,7 +1,7 @@
 """What the journal may take of the disk, worked out before it is spent. Bytes throughout; no I/O.
 
 The folder holds at most `disk` bytes, each file counted in whole blocks. From the bottom up: live messages
-take at most `live_most`; compaction starts once the files pass `compact_from` and is forced past
+take at most `max_live_bytes`; compaction starts once the files pass `compact_from` and is forced past
 `compact_by`; new messages are taken only up to `take_most`; what lies above is for outcomes, notices and
 ends, and for one segment that compaction writes before it can drop an old one.
 """
@@ -27,7 +27,7 @@
 
     def __init__(self, disk: float) -> None:
         self.disk = disk
-        self.live_most = LIVE_SHARE * disk
+        self.max_live_bytes = LIVE_SHARE * disk
         self.compact_from = COMPACT_SHARE * disk
         self.compact_by = FORCE_SHARE * disk
         self.take_most = TAKE_SHARE * disk
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -299,7 +299,9 @@
         self.take_reserve()
         self.open_answers()
         cost = RECORD_ROOM + body
-        fits = self.used + cost <= self.space.take_most and self.live_bytes + cost <= self.space.live_most
+        fits = (
+            self.used + cost <= self.space.take_most and self.live_bytes + cost <= self.space.max_live_bytes
+        )
         kept_back = self.reserve == self.space.reserve and self.answers.fd >= 0
         return fits and not self.has_unwritten_records and kept_back
 
