--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -34,7 +34,7 @@
 
 
 def kept(module: Any, number: int) -> Any:
-    return module.Kept(number, b"%016x" % number, "payment-order", 7, 2_000_000_000.0, BODY)
+    return module.JournalEntry(number, b"%016x" % number, "payment-order", 7, 2_000_000_000.0, BODY)
 
 
 def lives(module: Any, count: int) -> tuple[float, float]:
@@ -45,14 +45,14 @@
         out: deque[int] = deque()
         before = time.process_time()
         for number in range(1, count + 1):
-            journal.take(kept(module, number))
-            journal.attempt(number, 0, "endpoint-1", 1_900_000_000.0)
+            journal.record_accepted(kept(module, number))
+            journal.record_attempt(number, 0, "endpoint-1", 1_900_000_000.0)
             journal.flush()
             out.append(number)
             if len(out) > WINDOW:
                 old = out.popleft()
-                journal.outcome(old, 0, True)
-                journal.end(old)
+                journal.record_outcome(old, 0, True)
+                journal.record_end(old)
                 journal.flush()
         took = time.process_time() - before
         size = sum(
@@ -70,7 +70,7 @@
 def fill(module: Any, where: Path, disk: float) -> Any:
     journal = module.Journal(where, disk)
     for number in range(1, LIVE + 1):
-        journal.take(kept(module, number))
+        journal.record_accepted(kept(module, number))
         if number % 100 == 0:
             journal.flush()
     journal.flush()
@@ -134,12 +134,12 @@
         gc.freeze()  # as the dispatcher does after its start: the collector's pauses are not the journal's
         times = []
         for number in range(LIVE + 1, LIVE + count + 1):
-            journal.take(kept(segmented, number))
-            journal.attempt(number, 0, "endpoint-1", 1_900_000_000.0)
+            journal.record_accepted(kept(segmented, number))
+            journal.record_attempt(number, 0, "endpoint-1", 1_900_000_000.0)
             before = time.perf_counter()
             journal.flush()
             middle = time.perf_counter()
-            journal.end(number)
+            journal.record_end(number)
             after = time.perf_counter()
             journal.flush()
             times += [middle - before, time.perf_counter() - after]
--- a/rushhitch/core/messages.py
+++ b/rushhitch/core/messages.py
@@ -15,7 +15,7 @@
 )
 from rushhitch.core.lifecycle import Stage
 from rushhitch.endpoints import Result
-from rushhitch.journal import Kept
+from rushhitch.journal import JournalEntry
 
 BUSY_MS = 500  # told to a client where the house or the journal is full
 
@@ -48,7 +48,7 @@
     """A message of this process; `answer` is there until its client has been answered."""
 
     number: int
-    kept: Kept
+    kept: JournalEntry
     attempts: int
     due: float  # when its time is up, by the clock of the event loop, in seconds
     answer: ReplyCallback | None = None
@@ -75,7 +75,7 @@
     def awaits_outcome(self) -> bool:
         """Whether a call that has gone out, of this process or one that it goes on for, may still be answered
         or acknowledged. One that was out at a kill is not: nobody waits for its answer."""
-        return self.kept.handed is not None or not self.out.isdisjoint(self.kept.out)
+        return self.kept.awaiting_ack is not None or not self.out.isdisjoint(self.kept.out)
 
     @property
     def over(self) -> bool:
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -45,7 +45,7 @@
 from rushhitch.core.request_log import FINAL_ANSWER, log_abandoned, log_refusal, log_step, log_untried_end
 from rushhitch.core.start_report import StartReport
 from rushhitch.endpoints import PLATFORM, EndpointPool, Result
-from rushhitch.journal import Journal, Kept
+from rushhitch.journal import Journal, JournalEntry
 from rushhitch.journal.commit import Committer
 from rushhitch.journal.space import RECORD_ROOM
 from rushhitch.partners.codec import Attempt, Codec
@@ -118,7 +118,7 @@
         self.committer = Committer(journal)
         self.notices: list[PendingNotice] = []  # to be told once the journal tells of them
         self.remembered_ends = RememberedEnds(
-            min(MOST, int(ENDED_SHARE * journal.space.live_most / RECORD_ROOM))
+            min(MOST, int(ENDED_SHARE * journal.space.max_live_bytes / RECORD_ROOM))
         )
         self.sinks: Sinks | None = None  # where clients may have ends told by messages of our own
         self.end_history = EndHistory()
@@ -149,7 +149,7 @@
         return {
             "newest": self.numbers,
             "held": len(self.by_id),
-            "unanswered": len(self.journal.unaccepted),
+            "unanswered": len(self.journal.unanswered),
             "out": len(self.endpoints.calls),
             "notices": len(self.notices),
             "refused_effects": self.lifecycle.refused.total(),
@@ -225,14 +225,14 @@
             size += RECORD_ROOM + self.sinks.room  # of the message that tells its end
         room = self.fresh_bytes + size
         for gone in self.remembered_ends.forget(self.steady_time()):
-            self.journal.end(gone)
+            self.journal.record_end(gone)
         full = offer.remember and self.remembered_ends.full(len(self.by_id))
         if full or len(self.by_id) >= self.settings.max_held or not self.journal.has_room(room):
             self.metrics.ended(offer.cls, "refused")
             answer(Reply("refused", BUSY_MS))
             return 0
         self.numbers += 1
-        kept = Kept(
+        kept = JournalEntry(
             self.numbers,
             offer.id,
             offer.cls,
@@ -241,7 +241,7 @@
             offer.body,
             offer.key,
             offer.again,
-            taken_at=self.steady_time(),
+            accepted_at=self.steady_time(),
             remember=offer.remember,
             attributes=offer.attributes,
             tenant=offer.tenant,
@@ -280,7 +280,7 @@
             self.ahead_s = time.time() - self.loop.time()
         return self.loop.time() + self.ahead_s
 
-    def due_of(self, kept: Kept) -> float:
+    def due_of(self, kept: JournalEntry) -> float:
         """When the message's time is up, by the clock of the event loop."""
         return self.loop.time() + max(kept.deadline - self.steady_time(), 0.0)
 
@@ -288,7 +288,7 @@
         """A time of the event loop's clock as others read it now: Unix time in seconds."""
         return time.time() + due - self.loop.time()
 
-    def enter(self, kept: Kept, answer: ReplyCallback | None = None) -> Message:
+    def enter(self, kept: JournalEntry, answer: ReplyCallback | None = None) -> Message:
         due = self.due_of(kept)
         message = Message(kept.number, kept, kept.attempts, due, answer)
         if self.sinks is not None and self.sinks.named(kept.attributes):
@@ -345,7 +345,7 @@
         that promises least, so that a process which starts meanwhile sends nothing either."""
         log_abandoned(message, why)
         if self.lifecycle.advance(message, Effect.ABANDON) and message.awaits_outcome:
-            self.journal.owe(message.number, FAILED_NOTICE, 0.0)
+            self.journal.record_notice(message.number, FAILED_NOTICE, 0.0)
 
     def end_abandoned(self, message: Message) -> None:
         """No call of an abandoned message is out, and none delivered it."""
@@ -400,7 +400,7 @@
         """Whether its answers may only say that an acknowledgement is to come."""
         return self.registry.codecs.get(destination, PLATFORM).later(HTTP_ACCEPTED)
 
-    def ordered(self, kept: Kept) -> bool:
+    def ordered(self, kept: JournalEntry) -> bool:
         """Whether messages of its key go one after another."""
         if not kept.key:
             return False
@@ -447,13 +447,13 @@
             elif not message.handed:
                 self.note(api.Withdrawn(message.number))
         elif found in (Acknowledged.RETRY, Acknowledged.AWAIT):
-            (attempt,) = (kept.handed,) if message.handed else message.out
+            (attempt,) = (kept.awaiting_ack,) if message.handed else message.out
             if told.verdict is Verdict.NOT_RUN:
-                self.journal.denied(message.number, attempt, told.mark)
+                self.journal.record_not_run(message.number, attempt, told.mark)
             else:
                 kept.marks.append(told.mark)
                 if message.handed:
-                    self.journal.outcome(message.number, attempt, may_have_run=True)
+                    self.journal.record_outcome(message.number, attempt, may_have_run=True)
             if message.handed:
                 self.take_back(message)
                 if message.pending is not None:
@@ -490,7 +490,7 @@
         kept, later = message.kept, result.over and result.later and not message.over
         if later:
             if message.number in self.journal.live:
-                self.journal.handed(message.number, result.attempt.number)
+                self.journal.record_awaiting_ack(message.number, result.attempt.number)
             self.hand_over(message)
             if self.ordered(kept):
                 message.pending = result  # to the module the attempt stays out: the next of its key must wait
@@ -505,7 +505,7 @@
             and result.attempt.number in message.kept.out
             and not result.over
         ):
-            self.journal.outcome(message.number, result.attempt.number, not result.outcome.never_ran)
+            self.journal.record_outcome(message.number, result.attempt.number, not result.outcome.never_ran)
         if result.over and not later and not message.over:
             self.close(message, Effect.DELIVER)
         if result.final and message.stage is Stage.ACCEPTED:
@@ -575,7 +575,7 @@
                 log.exception("not carried out: %r", action)
         for message in fresh:
             if not message.over and self.lifecycle.advance(message, Effect.RECORD):
-                self.journal.offer(message.kept)
+                self.journal.record_received(message.kept)
         self.commit(lambda: self.carry_out(fresh, sends), lambda: self.reject_uncommitted(fresh, sends))
 
     def carry_out(self, fresh: list[Message], sends: dict[str, list[Attempt]]) -> None:
@@ -611,7 +611,7 @@
         if answer is None or not self.lifecycle.permits(message, Effect.ANSWER):
             return True
         try:
-            self.journal.answering(message.number)
+            self.journal.begin_answer(message.number)
         except OSError as error:
             log.error("the journal cannot be written: %s", error)
             return False
@@ -621,7 +621,7 @@
             self.drop(message)
             self.commit()
             return True
-        self.journal.answered(message.number)
+        self.journal.finish_answer(message.number)
         self.lifecycle.advance(message, Effect.ACCEPT)
         return True
 
@@ -647,7 +647,7 @@
             return [attempt for attempt in attempts if self.may_send(attempt)]
 
         for attempt in open_attempts():
-            self.journal.attempt(attempt.message, attempt.number, endpoint, self.steady_time())
+            self.journal.record_attempt(attempt.message, attempt.number, endpoint, self.steady_time())
         self.commit(lambda: go(open_attempts()), lambda: go([]))
 
     def reject_uncommitted(self, fresh: list[Message], sends: dict[str, list[Attempt]]) -> None:
@@ -709,9 +709,9 @@
                 self.endpoints.hang_up(endpoint)
             case api.RecordColdState(endpoint, cold, pace_per_s):
                 if cold:
-                    self.journal.chill(endpoint, pace_per_s)
+                    self.journal.record_cold(endpoint, pace_per_s)
                 else:
-                    self.journal.warm(endpoint)
+                    self.journal.record_warm(endpoint)
                 if self.limits.counts is not None:
                     self.limits.counts.chilled(endpoint, cold)
             case api.Subscribe():
@@ -741,7 +741,7 @@
         end = FAILED if result == "dead" else Reply("refused", wait_ms)
         self.notify_sink(message, end)
         if message.number in self.journal.live:
-            self.journal.owe(message.number, result, wait_ms)
+            self.journal.record_notice(message.number, result, wait_ms)
         self.notices.append(PendingNotice(message.number, message.id, result, wait_ms, message.due))
         self.close(message, Effect.EXPIRE, end=end)
 
@@ -767,10 +767,10 @@
         if message.number in self.journal.live:
             if message.kept.remember and end.status != WITHDRAWN.status:
                 if not noticed:
-                    self.journal.owe(message.number, end.status, 0.0)
+                    self.journal.record_notice(message.number, end.status, 0.0)
                 self.remember(message.kept, end)
             elif not noticed:
-                self.journal.end(message.number)
+                self.journal.record_end(message.number)
         self.by_id.pop(message.kept.id, None)
         self.forget(message)
         if not self.by_id:
@@ -790,15 +790,15 @@
         now = self.steady_time()
         most = self.settings.classes[self.classes[told.cls]].deadline_ms / 1000.0
         words = (told.id, told.cls, told.destination, now + most, told.body)
-        kept = Kept(self.numbers, *words, taken_at=now, attributes=told.attributes)
-        self.journal.take(kept)
+        kept = JournalEntry(self.numbers, *words, accepted_at=now, attributes=told.attributes)
+        self.journal.record_accepted(kept)
         self.arrive(self.enter(kept))
 
-    def remember(self, kept: Kept, end: Reply) -> None:
+    def remember(self, kept: JournalEntry, end: Reply) -> None:
         """The journal keeps the message, without its body, until its identity may be forgotten."""
         self.remembered_ends.add(kept.id, End(kept.number, end, kept.deadline + self.keep_s))
         for number in self.remembered_ends.forget(self.steady_time()):
-            self.journal.end(number)
+            self.journal.record_end(number)
 
     def forget(self, message: Message) -> None:
         if message.over and not message.out:
@@ -806,10 +806,10 @@
 
     def notice_heard(self, number: int) -> None:
         if number in self.remembered_ends.numbers:
-            self.journal.owe(number, FAILED.status, 0.0)  # the platform knows now
+            self.journal.record_notice(number, FAILED.status, 0.0)  # the platform knows now
             self.commit()
         elif number in self.journal.live:
-            self.journal.end(number)
+            self.journal.record_end(number)
             self.commit()
 
     def commit(
@@ -867,7 +867,7 @@
         kept = self.journal.live.get(notice.number)
         if notice.result != REFUSED_NOTICE or kept is None or not kept.attempts:
             return notice
-        self.journal.owe(notice.number, FAILED_NOTICE, 0.0)
+        self.journal.record_notice(notice.number, FAILED_NOTICE, 0.0)
         return replace(notice, result=FAILED_NOTICE, wait_ms=0.0)
 
 
--- a/rushhitch/core/resumption.py
+++ b/rushhitch/core/resumption.py
@@ -11,7 +11,7 @@
 from rushhitch.core.messages import BUSY_MS, InheritedAttempt, PendingNotice
 from rushhitch.core.node import Node
 from rushhitch.core.start_report import Found, found
-from rushhitch.journal import Kept
+from rushhitch.journal import JournalEntry
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
     for kept in node.journal.dropped:
         node.start_report.add(kept, Found.UNANSWERED)
     in_doubt = set(node.journal.in_doubt)
-    for kept in node.journal.messages():  # in the order of taking, which some classes keep
+    for kept in node.journal.entries():  # in the order of taking, which some classes keep
         state = found(kept, node.steady_time(), in_doubt)
         if kept.cls not in node.classes and node.history.terms(kept.number, kept.cls) is None:
             if state not in (Found.IN_DOUBT, Found.REMEMBERED, Found.TO_BE_NOTIFIED):
@@ -53,7 +53,7 @@
     return inherited
 
 
-def go_on(node: Node, kept: Kept, state: Found, loans: list[InheritedAttempt]) -> None:
+def go_on(node: Node, kept: JournalEntry, state: Found, loans: list[InheritedAttempt]) -> None:
     """What becomes of one message, by the state in which it is found."""
     match state:
         case Found.IN_DOUBT:
@@ -72,24 +72,24 @@
             take_up(node, kept, loans)
 
 
-def take_up(node: Node, kept: Kept, loans: list[InheritedAttempt]) -> None:
+def take_up(node: Node, kept: JournalEntry, loans: list[InheritedAttempt]) -> None:
     """The message is open, and this process owes its end."""
     message = node.enter(kept)
     message.resumed = True
     if loans:
         message.out |= {loan.attempt for loan in loans}
         node.arrive(message, loans)
-    elif kept.handed is not None and node.acknowledges(kept.destination) and not node.ordered(kept):
+    elif kept.awaiting_ack is not None and node.acknowledges(kept.destination) and not node.ordered(kept):
         node.hand_over(message)
     else:
         node.arrive(message, untried=not kept.attempts)
 
 
-def end_at_start(node: Node, kept: Kept, end: Reply) -> None:
+def end_at_start(node: Node, kept: JournalEntry, end: Reply) -> None:
     """End by a notice what the process before this one left and this one does not go on with: its class
     is gone, or its client may not have heard that it is accepted and have handed it in anew."""
     result = "dead" if end is FAILED else "bounced"
     node.recent_ends.add(kept.id, end, node.loop.time())
-    node.journal.owe(kept.number, result, end.wait_ms)
+    node.journal.record_notice(kept.number, result, end.wait_ms)
     node.notices.append(PendingNotice(kept.number, kept.id, result, end.wait_ms, node.due_of(kept)))
     node.metrics.ended(kept.cls, end.status)
--- a/rushhitch/core/state_transfer.py
+++ b/rushhitch/core/state_transfer.py
@@ -29,8 +29,8 @@
         node.lifecycle.enter(Phase.QUIESCING)
         await node.endpoints.freeze()
         node.turn()
-        await node.committer.quiet()
-        return not node.journal.unsaved
+        await node.committer.wait_until_idle()
+        return not node.journal.has_unwritten_records
 
     async def end_calls(self) -> None:
         """This process ends and no other carries its calls on. All that they prove is in the journal before
@@ -38,7 +38,7 @@
         await self.node.endpoints.hear_out()
         self.node.lifecycle.enter(Phase.CLOSED)
         self.node.turn()  # who handed something in meanwhile is answered, too
-        await self.node.committer.quiet()
+        await self.node.committer.wait_until_idle()
 
     def relinquish(
         self, report: Callable[[Result], None], abandon: Callable[[int, str], None]
--- a/rushhitch/journal/format.py
+++ b/rushhitch/journal/format.py
@@ -60,12 +60,12 @@
     """The journal cannot be used as it is; the text says why and what to do. Nothing was changed."""
 
 
-class Held(JournalError):
+class FolderInUseError(JournalError):
     """Another process holds the folder."""
 
 
 @dataclass(slots=True)
-class Kept:
+class JournalEntry:
     """A message that was taken on and is not over, as far as the journal knows."""
 
     number: int  # never used twice while the journal lasts: an id may be, when its first message has ended
@@ -80,10 +80,10 @@
     out: dict[int, tuple[str, float]] = field(default_factory=dict)  # attempts with no outcome: where, when
     ran: tuple[str, float] | None = None  # the first attempt that had an outcome and may have run
     notice: tuple[str, float] | None = None  # it has ended; the platform has yet to be told how
-    taken_at: float = 0.0
+    accepted_at: float = 0.0
     remember: bool = False  # its identity outlasts its end: then `notice` may be "delivered" or "failed"
     attributes: bytes = b""  # of an event, a JSON object
-    handed: int | None = None  # the attempt that was answered, of which an acknowledgement is to come
+    awaiting_ack: int | None = None  # the attempt that was answered, of which an acknowledgement is to come
     marks: list[bytes] = field(default_factory=list)  # of acknowledgements by which an attempt never ran
     tenant: str = ""
     idempotency: bytes = b""  # the key by which its endpoint knows a repeat
@@ -94,8 +94,8 @@
     def attempt_ended(self, number: int, may_have_run: bool) -> None:
         """The outcome of an attempt that was out."""
         where = self.out.pop(number, None)
-        if self.handed == number:
-            self.handed = None
+        if self.awaiting_ack == number:
+            self.awaiting_ack = None
         if where is not None and may_have_run and (self.ran is None or where[1] < self.ran[1]):
             self.ran = where
 
@@ -114,7 +114,7 @@
     return hashlib.blake2b(boot.encode(), digest_size=BOOT_SIZE).digest() if boot else bytes(BOOT_SIZE)
 
 
-def message_payload(kept: Kept, early: bool = False) -> bytes:
+def message_payload(kept: JournalEntry, early: bool = False) -> bytes:
     """All that is known of a message; `early`, while its client has no answer."""
     cls, extra = kept.cls.encode(), b""
     flags = (AGAIN if kept.again else 0) | (REMEMBERED if kept.remember else 0) | (EARLY if early else 0)
@@ -125,8 +125,8 @@
     if kept.out or kept.ran or kept.notice or kept.marks or any(named):
         flags |= TRIED
         tried: list[Any] = [kept.ran, list(kept.out.items()), kept.notice]
-        if kept.handed is not None or kept.marks or any(named):
-            tried += [kept.handed, [mark.hex() for mark in kept.marks]]
+        if kept.awaiting_ack is not None or kept.marks or any(named):
+            tried += [kept.awaiting_ack, [mark.hex() for mark in kept.marks]]
         if any(named):  # last, where builds that do not know of them pass over them
             tried += named
         told = json.dumps(tried, separators=(",", ":")).encode()
@@ -137,7 +137,7 @@
     head = MESSAGE_HEAD.pack(
         kept.number,
         kept.deadline,
-        kept.taken_at,
+        kept.accepted_at,
         kept.destination,
         kept.attempts,
         flags,
@@ -152,9 +152,9 @@
     return MESSAGE_HEAD.unpack_from(payload)[5] & EARLY > 0
 
 
-def read_message(payload: bytes, classes: dict[bytes, str]) -> Kept:
+def read_message(payload: bytes, classes: dict[bytes, str]) -> JournalEntry:
     """The message of a record; `classes` keeps one string for each class's name."""
-    number, deadline, taken_at, destination, attempts, flags, id_size, cls_size = MESSAGE_HEAD.unpack_from(
+    number, deadline, accepted_at, destination, attempts, flags, id_size, cls_size = MESSAGE_HEAD.unpack_from(
         payload
     )
     at = MESSAGE_HEAD.size + id_size
@@ -187,7 +187,7 @@
         at += LENGTH.size
         attributes, at = payload[at : at + size], at + size
     again = flags & AGAIN > 0
-    return Kept(
+    return JournalEntry(
         number,
         name,
         known,
@@ -200,7 +200,7 @@
         out,
         ran,
         notice,
-        taken_at,
+        accepted_at,
         flags & REMEMBERED > 0,
         attributes,
         handed,
--- a/rushhitch/journal/inspect.py
+++ b/rushhitch/journal/inspect.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from rushhitch.journal.format import Kept
+from rushhitch.journal.format import JournalEntry
 from rushhitch.journal.replay import Report
 from rushhitch.journal.store import Journal
 
@@ -19,7 +19,7 @@
     return f"{sign}{int(seconds // 3600)}h{int(seconds % 3600 // 60):02d}m"
 
 
-def owed(kept: Kept) -> str:
+def owed(kept: JournalEntry) -> str:
     if kept.notice is not None:
         result, wait = kept.notice
         if result in ("delivered", "failed"):
@@ -28,12 +28,12 @@
     return "its end"
 
 
-def tried(kept: Kept, now: float) -> str:
+def tried(kept: JournalEntry, now: float) -> str:
     if not kept.attempts:
         return "never"
     told = [f"{kept.attempts}x"]
     for number, (where, at) in kept.out.items():
-        state = "answered, to be acknowledged by" if number == kept.handed else "out at"
+        state = "answered, to be acknowledged by" if number == kept.awaiting_ack else "out at"
         told.append(f"{state} {where} for {span(now - at)}")
     if kept.ran is not None:
         where, at = kept.ran
@@ -46,8 +46,8 @@
 def table(journal: Journal, now: float) -> str:
     """One line for each live message, and what the folder holds."""
     rows = [("number", "id", "class", "dest", "since", "time left", "bytes", "tried", "owed")]
-    for kept in journal.messages():
-        since = span(now - kept.taken_at) if kept.taken_at else "?"
+    for kept in journal.entries():
+        since = span(now - kept.accepted_at) if kept.accepted_at else "?"
         left = span(kept.deadline - now)
         name = kept.id.decode("latin-1")
         rows.append(
--- a/rushhitch/journal/replay.py
+++ b/rushhitch/journal/replay.py
@@ -7,7 +7,7 @@
 from rushhitch.journal import format as form
 from rushhitch.journal.acceptance import Acceptances
 from rushhitch.journal.files import Files
-from rushhitch.journal.format import JournalError, Kept
+from rushhitch.journal.format import JournalEntry, JournalError
 from rushhitch.journal.segments import PREFIX, SUFFIX, Segment, warm_up
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self, files: Files) -> None:
         self.files = files
-        self.live: dict[int, Kept] = {}
+        self.live: dict[int, JournalEntry] = {}
         self.cold: dict[str, float] = {}
         self.cold_homes: dict[str, Segment] = {}
         self.segments: list[Segment] = []
@@ -109,8 +109,8 @@
         for kept in self.live.values():
             if kept.notice is None:
                 self.report.doubted += 1
-                if kept.ran is None or kept.taken_at < kept.ran[1]:
-                    kept.ran = ("", kept.taken_at)
+                if kept.ran is None or kept.accepted_at < kept.ran[1]:
+                    kept.ran = ("", kept.accepted_at)
                 kept.attempts = max(kept.attempts, 1)
 
     def apply(self, segment: Segment, kind: int, payload: bytes, classes: dict[bytes, str]) -> None:
@@ -156,7 +156,7 @@
             if number in kept.out:
                 kept.attempt_ended(number, bool(may_have_run))
         elif kind == form.HANDED:
-            kept.handed = form.HANDED_HEAD.unpack(payload)[1]
+            kept.awaiting_ack = form.HANDED_HEAD.unpack(payload)[1]
         elif kind == form.DENIED:
             _, number = form.HANDED_HEAD.unpack_from(payload)
             if number in kept.out:
--- a/rushhitch/journal/side.py
+++ b/rushhitch/journal/sidecar.py
@@ -8,7 +8,7 @@
 import os
 import zlib
 
-from rushhitch.journal.files import on_disk
+from rushhitch.journal.files import allocated_size
 from rushhitch.journal.store import Journal, Sync
 
 log = logging.getLogger(__name__)
@@ -16,7 +16,7 @@
 DRAFT = ".draft"  # after the name, until the whole of it is written
 
 
-class Side:
+class SidecarFile:
     """One such file: the old content or the new, never a part. A damaged one reads as none."""
 
     def __init__(self, journal: Journal, name: str) -> None:
@@ -25,14 +25,14 @@
         self.size = names.get(name, 0)
         if name + DRAFT in names:  # its writer was killed
             self.files.unlink(name + DRAFT)
-            journal.used -= on_disk(names[name + DRAFT])
+            journal.used -= allocated_size(names[name + DRAFT])
 
     def load(self) -> bytes | None:
         """The content; None where there is none to trust, with a line in the log if it is damaged."""
         if not self.size:
             return None
         try:
-            content = unsealed(self.files.read(self.name))
+            content = verified_content(self.files.read(self.name))
         except OSError as error:
             log.error("%s cannot be read: %s", self.name, error)
             return None
@@ -55,8 +55,8 @@
 
     def replace(self, data: bytes) -> None:
         """Write the whole of it beside the old one, and rename."""
-        if self.journal.used + on_disk(len(data)) > self.journal.space.disk:
-            self.journal.set_free(on_disk(len(data)))
+        if self.journal.used + allocated_size(len(data)) > self.journal.space.disk:
+            self.journal.set_free(allocated_size(len(data)))
         draft = self.name + DRAFT
         fd = self.files.create(draft)
         try:
@@ -72,7 +72,7 @@
             with contextlib.suppress(OSError):
                 self.files.unlink(draft)
             raise
-        self.journal.used += on_disk(len(data)) - on_disk(self.size)
+        self.journal.used += allocated_size(len(data)) - allocated_size(self.size)
         self.size = len(data)
 
     def put_back(self, before: bytes | None) -> None:
@@ -82,7 +82,7 @@
                 self.replace(before)
                 return
             self.files.unlink(self.name)
-            self.journal.used -= on_disk(self.size)
+            self.journal.used -= allocated_size(self.size)
             self.size = 0
         except OSError as error:
             log.error("%s: a change that was refused may hold from the next start on: %s", self.name, error)
@@ -92,6 +92,6 @@
     return b"%08x\n" % zlib.crc32(content) + content
 
 
-def unsealed(data: bytes) -> bytes | None:
+def verified_content(data: bytes) -> bytes | None:
     told, end, content = data.partition(b"\n")
     return content if end and told == b"%08x" % zlib.crc32(content) else None
--- a/rushhitch/journal/steady.py
+++ b/rushhitch/journal/steady_clock.py
@@ -5,7 +5,7 @@
 import json
 import logging
 
-from rushhitch.journal.side import Side
+from rushhitch.journal.sidecar import SidecarFile
 from rushhitch.journal.store import Journal
 
 log = logging.getLogger(__name__)
@@ -14,12 +14,12 @@
 STEP_S = 1.0  # a difference beyond that is told: a wall clock that is kept right drifts by less
 
 
-def ahead_of(journal: Journal, wall_s: float, monotonic_s: float, boot: str) -> float:
+def steady_clock_offset_s(journal: Journal, wall_s: float, monotonic_s: float, boot: str) -> float:
     """How far the steady clock is ahead of the monotonic one, which all processes of one boot share. The
     first of them takes it from the wall clock, a small file keeps it, and the others go on with it: whichever
     way the wall clock is stepped, attempts keep their ages and messages their deadlines. Where the monotonic
     clock reads less than when the file was written, it has begun anew, and so does the steady one."""
-    side, ahead_s = Side(journal, NAME), wall_s - monotonic_s
+    side, ahead_s = SidecarFile(journal, NAME), wall_s - monotonic_s
     if (content := side.load()) is not None:
         try:
             told = json.loads(content)
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -25,8 +25,8 @@
 from rushhitch.journal.answers import SIZE as ANSWERS_SIZE
 from rushhitch.journal.answers import AnswerFile, Marks, read_marks
 from rushhitch.journal.boot import boot_id
-from rushhitch.journal.files import BLOCK, Files, on_disk
-from rushhitch.journal.format import Held, Kept
+from rushhitch.journal.files import BLOCK, Files, allocated_size
+from rushhitch.journal.format import FolderInUseError, JournalEntry
 from rushhitch.journal.replay import Replay, Report
 from rushhitch.journal.segments import PREFIX, Segment, warm_up
 from rushhitch.journal.space import RECORD_ROOM, Space
@@ -104,8 +104,8 @@
             self.files.lock_fd = lock
         self.space, self.sync, self.clock = Space(disk_bytes), sync, clock
         self.boot = form.boot_mark(boot_id() if boot is None else boot)
-        self.live: dict[int, Kept] = {}
-        self.unaccepted: set[int] = set()  # of `live`: recorded, and not known to have been answered
+        self.live: dict[int, JournalEntry] = {}
+        self.unanswered: set[int] = set()  # of `live`: recorded, and not known to have been answered
         self.in_doubt: list[int] = []  # of these, as replay left them: their clients may have been answered
         self.marks: Marks | None = None  # what the answer file said at the start
         self.answers = AnswerFile(self.files)
@@ -125,11 +125,13 @@
         self.failing = False  # the disk did not take what was noted
         self.reserve = 0
         self.reserve_due = -float("inf")
-        self.dropped: list[Kept] = []  # by replay, since nobody was told that they are accepted
+        self.dropped: list[JournalEntry] = []  # by replay, since nobody was told that they are accepted
         self.aside: dict[str, int] = {}  # damaged files that were set aside, in whole blocks
         self.report = Report()
         if writable and not self.files.lock(LOCK):
-            raise Held(f"{folder} is held by another process: stop that one first, or use another folder")
+            raise FolderInUseError(
+                f"{folder} is held by another process: stop that one first, or use another folder"
+            )
         collects = gc.isenabled()
         gc.disable()  # many new objects, none of them garbage, would be gone through again and again
         try:
@@ -164,82 +166,82 @@
 
     # What can happen to a message. Nothing is on disk before `flush`.
 
-    def take(self, kept: Kept) -> None:
+    def record_accepted(self, kept: JournalEntry) -> None:
         self.live[kept.number] = kept
         self.live_bytes += self.cost(kept)
         if kept.number > self.highest:
             self.highest = kept.number
         self.note(kept.number, form.MESSAGE, form.message_payload(kept))
 
-    def offer(self, kept: Kept) -> None:
+    def record_received(self, kept: JournalEntry) -> None:
         """The message came in; its client has no answer yet. After a kill it is dropped."""
-        self.unaccepted.add(kept.number)
+        self.unanswered.add(kept.number)
         self.live[kept.number] = kept
         self.live_bytes += self.cost(kept)
         self.highest = max(self.highest, kept.number)
         self.note_whole(kept)
 
-    def answering(self, number: int) -> None:
+    def begin_answer(self, number: int) -> None:
         """The client of a recorded message is about to be told that it is accepted. Raises `OSError` where
         the disk does not take that: then nobody may be told. What was noted goes first: behind this, all
         messages before it count as answered but for those that the journal says have ended."""
-        if number in self.unaccepted and self.sync is not Sync.NONE:
+        if number in self.unanswered and self.sync is not Sync.NONE:
             self.note(number, form.ACCEPT, form.NUMBER.pack(number))
         if self.pending:
             self.flush(sync=False)
         self.answers.begin(number)
 
-    def answered(self, number: int) -> None:
+    def finish_answer(self, number: int) -> None:
         """The whole of that answer is in the system's hands. Without a word of it on the disk the message
         stays in doubt until the next answer."""
         try:
             self.answers.done(number)
         except OSError as error:
             log.error("the journal's answers cannot be written: %s", error)
-        self.unaccepted.discard(number)
+        self.unanswered.discard(number)
 
-    def note_whole(self, kept: Kept) -> None:
+    def note_whole(self, kept: JournalEntry) -> None:
         """Note all that is known of a live message, in one record."""
-        early = kept.number in self.unaccepted
+        early = kept.number in self.unanswered
         if early and self.sync is not Sync.NONE:
             self.note(kept.number, form.OFFER, self.boot + form.message_payload(kept))
         else:
             self.note(kept.number, form.MESSAGE, form.message_payload(kept, early))
 
-    def attempt(self, message: int, number: int, endpoint: str, at: float) -> None:
+    def record_attempt(self, message: int, number: int, endpoint: str, at: float) -> None:
         kept = self.live[message]
         kept.out[number] = (endpoint, at)
         if number >= kept.attempts:
             kept.attempts = number + 1
         self.note(message, form.TRY, form.TRY_HEAD.pack(message, number, at) + endpoint.encode())
 
-    def handed(self, message: int, number: int) -> None:
+    def record_awaiting_ack(self, message: int, number: int) -> None:
         """The attempt was answered and stays out: an acknowledgement is to come."""
-        self.live[message].handed = number
+        self.live[message].awaiting_ack = number
         self.note(message, form.HANDED, form.HANDED_HEAD.pack(message, number))
 
-    def denied(self, message: int, number: int, mark: bytes) -> None:
+    def record_not_run(self, message: int, number: int, mark: bytes) -> None:
         """By an acknowledgement with that mark the attempt never ran."""
         kept = self.live[message]
         kept.attempt_ended(number, may_have_run=False)
         kept.marks.append(mark)
         self.note(message, form.DENIED, form.HANDED_HEAD.pack(message, number) + mark)
 
-    def outcome(self, message: int, number: int, may_have_run: bool) -> None:
+    def record_outcome(self, message: int, number: int, may_have_run: bool) -> None:
         self.live[message].attempt_ended(number, may_have_run)
         self.note(message, form.GOT, form.GOT_HEAD.pack(message, number, may_have_run))
 
-    def owe(self, message: int, result: str, wait_ms: float) -> None:
+    def record_notice(self, message: int, result: str, wait_ms: float) -> None:
         """The message has ended, and the platform must be told."""
         self.ended(self.live[message], result, wait_ms)
         self.note(message, form.OWE, form.OWE_HEAD.pack(message, wait_ms) + result.encode())
 
-    def ended(self, kept: Kept, result: str, wait_ms: float) -> None:
+    def ended(self, kept: JournalEntry, result: str, wait_ms: float) -> None:
         self.live_bytes -= self.cost(kept)
         kept.notice, kept.body, kept.attributes = (result, wait_ms), b"", b""
         self.live_bytes += self.cost(kept)
 
-    def end(self, message: int) -> None:
+    def record_end(self, message: int) -> None:
         """Nothing more is owed. What was noted of the message and is in no file will not be written; of one
         that is in no file at all nothing is."""
         written = self.live[message].home is not None
@@ -258,18 +260,18 @@
 
     def drop(self, message: int) -> None:
         kept = self.live.pop(message)
-        self.unaccepted.discard(message)
+        self.unanswered.discard(message)
         self.live_bytes -= self.cost(kept)
         if kept.home is not None:
             kept.home.live.pop(message, None)
 
-    def chill(self, endpoint: str, pace_per_s: float) -> None:
+    def record_cold(self, endpoint: str, pace_per_s: float) -> None:
         """The decisions take the endpoint to be cold."""
         warm_up(endpoint, self.cold, self.cold_homes)
         self.cold[endpoint] = pace_per_s
         self.note_cold(endpoint)
 
-    def warm(self, endpoint: str) -> None:
+    def record_warm(self, endpoint: str) -> None:
         """It is warm, or gone."""
         if endpoint in self.cold:
             warm_up(endpoint, self.cold, self.cold_homes)
@@ -288,7 +290,7 @@
     # Space
 
     @staticmethod
-    def cost(kept: Kept) -> int:
+    def cost(kept: JournalEntry) -> int:
         named = len(kept.tenant) + len(kept.idempotency)
         return RECORD_ROOM + named + len(kept.body) + len(kept.attributes)
 
@@ -297,12 +299,14 @@
         self.take_reserve()
         self.open_answers()
         cost = RECORD_ROOM + body
-        fits = self.used + cost <= self.space.take_most and self.live_bytes + cost <= self.space.live_most
+        fits = (
+            self.used + cost <= self.space.take_most and self.live_bytes + cost <= self.space.max_live_bytes
+        )
         kept_back = self.reserve == self.space.reserve and self.answers.fd >= 0
-        return fits and not self.unsaved and kept_back
+        return fits and not self.has_unwritten_records and kept_back
 
     @property
-    def unsaved(self) -> bool:
+    def has_unwritten_records(self) -> bool:
         """Something noted is in no file, since the disk did not take it."""
         return self.failing and bool(self.pending)
 
@@ -343,7 +347,7 @@
                 size += len(entry[3])
         data = b"".join([fresh, *[entry[3] for entry in batch]])
         if self.used + len(data) + BLOCK > self.space.disk:
-            self.set_free(on_disk(size) - on_disk(segment.size))
+            self.set_free(allocated_size(size) - allocated_size(segment.size))
         written = self.append(segment, data)
         if written == len(data):
             self.note_written(segment, batch)
@@ -422,7 +426,9 @@
         return written
 
     def grow(self, segment: Segment, size: int) -> None:
-        self.used += (-(-size // BLOCK) - -(-segment.size // BLOCK)) * BLOCK  # `on_disk`, at every write
+        self.used += (
+            -(-size // BLOCK) - -(-segment.size // BLOCK)
+        ) * BLOCK  # `allocated_size`, at every write
         segment.size = size
 
     def cut(self, segment: Segment, size: int) -> None:
@@ -474,7 +480,7 @@
         parts: list[tuple[Segment, int, int]] = []
         try:
             for segment in due:
-                parts.append((segment, self.files.twin(segment.fd), segment.size))
+                parts.append((segment, self.files.duplicate(segment.fd), segment.size))
         except OSError:
             for _, fd, _ in parts:
                 self.files.close(fd)
@@ -511,7 +517,7 @@
         if self.reserve:
             with contextlib.suppress(OSError):
                 self.files.unlink(RESERVE)
-            self.used -= on_disk(self.reserve)
+            self.used -= allocated_size(self.reserve)
             self.reserve = 0
         self.reserve_due = self.clock() + RETRY_RESERVE_S
         self.drop_aside()
@@ -539,7 +545,7 @@
         if self.reserve == size or self.clock() < self.reserve_due:
             return
         self.reserve_due = self.clock() + RETRY_RESERVE_S
-        if self.used + on_disk(size) > self.space.disk:
+        if self.used + allocated_size(size) > self.space.disk:
             return
         try:
             fd = self.files.create(RESERVE)
@@ -551,7 +557,7 @@
             written = 0
         if written == size:
             self.reserve = size
-            self.used += on_disk(size)
+            self.used += allocated_size(size)
         else:
             with contextlib.suppress(OSError):
                 self.files.unlink(RESERVE)
@@ -566,7 +572,7 @@
             if not size and self.used + ANSWERS_SIZE > self.space.disk:
                 return
             self.answers.open(self.identity, self.marks_to_go_on_from())
-            self.used += ANSWERS_SIZE - on_disk(size)
+            self.used += ANSWERS_SIZE - allocated_size(size)
         except OSError as error:
             log.error("the journal's answers cannot be kept, nothing is taken on: %s", error)
 
@@ -661,11 +667,11 @@
             self.seal(oldest)
             if oldest.damaged and self.used + oldest.size < self.space.compact_from:
                 self.files.rename(oldest.name, ASIDE + oldest.name)
-                self.aside[ASIDE + oldest.name] = on_disk(oldest.size)
+                self.aside[ASIDE + oldest.name] = allocated_size(oldest.size)
                 log.warning("journal: the damaged file is kept as %s", ASIDE + oldest.name)
             else:
                 self.files.unlink(oldest.name)
-                self.used -= on_disk(oldest.size)
+                self.used -= allocated_size(oldest.size)
             self.segments.pop(0)
             self.unlinked = (
                 self.sync is not Sync.NONE
@@ -697,9 +703,9 @@
     def replay(self) -> None:
         """Learn what is live from the files; changes nothing."""
         names = self.files.names()
-        self.used = sum(on_disk(size) for size in names.values())
+        self.used = sum(allocated_size(size) for size in names.values())
         self.reserve = names.get(RESERVE, 0)
-        self.aside = {name: on_disk(size) for name, size in names.items() if name.startswith(ASIDE)}
+        self.aside = {name: allocated_size(size) for name, size in names.items() if name.startswith(ASIDE)}
         if legacy.NAME in names:
             self.live, self.cold, bad = legacy.read(self.files.read(legacy.NAME))
             self.report.carried, self.report.lost = len(self.live), bad
@@ -722,7 +728,7 @@
         for kept in self.dropped:
             self.drop(kept.number)
         self.in_doubt = settled.in_doubt
-        self.unaccepted |= set(settled.in_doubt)
+        self.unanswered |= set(settled.in_doubt)
         if self.marks is not None:
             self.highest = max(self.highest, self.marks.answering)
 
@@ -733,7 +739,7 @@
         for name in (legacy.DRAFT, *([RESERVE] if self.reserve != self.space.reserve else [])):
             if name in names:
                 self.files.unlink(name)
-                self.used -= on_disk(names[name])
+                self.used -= allocated_size(names[name])
                 if name == RESERVE:
                     self.reserve = 0
         if self.report.damaged or self.report.lost or self.report.unreadable:
@@ -756,7 +762,7 @@
             self.files.sync_folder()
         for segment in [s for s in self.segments if s.size < form.HEADER_SIZE]:
             self.files.unlink(segment.name)
-            self.used -= on_disk(segment.size)
+            self.used -= allocated_size(segment.size)
             self.segments.remove(segment)
         for kept in self.dropped:  # before any later answer, behind which they would count as answered
             self.note(kept.number, form.END, form.NUMBER.pack(kept.number))
@@ -772,7 +778,7 @@
         """Bring the JSON journal over: its file goes last, and until then it alone counts."""
         for name in (n for n in names if n.startswith(PREFIX)):
             self.files.unlink(name)
-            self.used -= on_disk(names[name])
+            self.used -= allocated_size(names[name])
         self.identity = os.urandom(16)
         for endpoint in self.cold:
             self.note_cold(endpoint)
@@ -783,9 +789,9 @@
         if self.sync is not Sync.NONE:
             self.sync_now()
         self.files.unlink(legacy.NAME)
-        self.used -= on_disk(names[legacy.NAME])
+        self.used -= allocated_size(names[legacy.NAME])
         log.info("the journal of an earlier build was carried over: %d messages", len(self.live))
 
-    def messages(self) -> list[Kept]:
+    def entries(self) -> list[JournalEntry]:
         """What is live, in the order of taking: `live` has what compaction copied behind the rest."""
         return sorted(self.live.values(), key=lambda kept: kept.number)
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -43,8 +43,8 @@
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.journal import Journal
 from rushhitch.journal.boot import boot_id
-from rushhitch.journal.side import Side, unsealed
-from rushhitch.journal.steady import ahead_of
+from rushhitch.journal.sidecar import SidecarFile, verified_content
+from rushhitch.journal.steady_clock import steady_clock_offset_s
 from rushhitch.partners.codec import Codec
 from rushhitch.succession.handover import Handover
 from rushhitch.succession.states import Do
@@ -139,7 +139,7 @@
             bans,
             kept.history,
         )
-        node.ahead_s = ahead_of(journal, time.time(), time.monotonic(), boot_id())
+        node.ahead_s = steady_clock_offset_s(journal, time.time(), time.monotonic(), boot_id())
         kept.take(configuration, node)
         self.kept = kept
         self.handshake = make_handshake(node, configuration.own)
@@ -527,7 +527,7 @@
         return read_configuration(environ)
     except BadFile as error:
         try:
-            content = unsealed((Path(environ["ROUTER_STATE"]) / SETTINGS).read_bytes())
+            content = verified_content((Path(environ["ROUTER_STATE"]) / SETTINGS).read_bytes())
             told = History.read(content).file()
             if told is None:
                 raise error
@@ -542,7 +542,7 @@
     """The history of settings in its file: what messages were taken under outlasts the process."""
 
     def __init__(self, journal: Journal) -> None:
-        self.journal, self.side = journal, Side(journal, SETTINGS)
+        self.journal, self.side = journal, SidecarFile(journal, SETTINGS)
         try:
             self.history = History.read(self.side.load())
         except ValueError as error:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -317,22 +317,22 @@
     class Few(Files):
         left = 0
 
-        def twin(self, fd):
+        def duplicate(self, fd):
             if not self.left:
                 raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
-            return super().twin(fd)
+            return super().duplicate(fd)
 
     async def work():
         files = Few(tmp_path)
         journal = Journal(tmp_path, 1e6, Sync.BATCH, files)
         committer, told = Committer(journal), asyncio.Queue()
-        journal.take(kept(1))
+        journal.record_accepted(kept(1))
         committer.commit(lambda: told.put_nowait("done"), lambda: told.put_nowait("failed"))
         await asyncio.sleep(0.02)
         assert told.empty()
         files.left = 1
         assert await told.get() == "done"
-        await committer.quiet()
+        await committer.wait_until_idle()
         committer.close()
         journal.close()
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -10,16 +10,18 @@
 from hypothesis import strategies as st
 
 from lab.disk import CountingFiles, FailingFiles, FullFiles
-from rushhitch.journal import Journal, JournalError, Kept, Sync, store
+from rushhitch.journal import Journal, JournalEntry, JournalError, Sync, store
 from rushhitch.journal import format as form
-from rushhitch.journal.files import Files, on_disk
+from rushhitch.journal.files import Files, allocated_size
 
 DISK = 300_000
 JSON_LINES = Path(__file__).parent / "data" / "journal-of-json-lines"
 
 
 def kept(number=1, body=b"\x00\r\n\xff"):
-    return Kept(number, b"m%d" % number, "pay", 7, 1_800_000_000.5, body, 3, True, taken_at=1_799_999_990.0)
+    return JournalEntry(
+        number, b"m%d" % number, "pay", 7, 1_800_000_000.5, body, 3, True, accepted_at=1_799_999_990.0
+    )
 
 
 def opened(folder, **told):
@@ -44,12 +46,12 @@
 
 def filled(folder):
     journal = opened(folder)
-    journal.take(kept())
-    journal.take(kept(2))
-    journal.attempt(1, 0, "e1", 1000.0)
-    journal.attempt(2, 0, "e1", 1000.0)
-    journal.outcome(1, 0, True)
-    journal.attempt(1, 1, "e2", 1001.0)
+    journal.record_accepted(kept())
+    journal.record_accepted(kept(2))
+    journal.record_attempt(1, 0, "e1", 1000.0)
+    journal.record_attempt(2, 0, "e1", 1000.0)
+    journal.record_outcome(1, 0, True)
+    journal.record_attempt(1, 1, "e2", 1001.0)
     journal.flush()
     return journal
 
@@ -67,9 +69,9 @@
 
 def test_an_attempt_proven_unsent_leaves_no_doubt(tmp_path):
     journal = opened(tmp_path)
-    journal.take(kept())
-    journal.attempt(1, 0, "e1", 1000.0)
-    journal.outcome(1, 0, False)
+    journal.record_accepted(kept())
+    journal.record_attempt(1, 0, "e1", 1000.0)
+    journal.record_outcome(1, 0, False)
     journal.flush()
     again = reread(journal).live[1]
     assert again.first_run is None and again.attempts == 1
@@ -77,24 +79,24 @@
 
 def test_a_notice_is_kept_until_it_is_over(tmp_path):
     journal = filled(tmp_path)
-    journal.owe(1, "bounced", 300.0)
-    journal.end(2)
+    journal.record_notice(1, "bounced", 300.0)
+    journal.record_end(2)
     journal.flush()
     again = reread(journal)
     assert list(again.live) == [1] and again.live[1].notice == ("bounced", 300.0)
     again.compact()
     again = reread(again)
     assert again.live[1].notice == ("bounced", 300.0) and again.live[1].body == b""
-    again.end(1)
+    again.record_end(1)
     again.flush()
     assert reread(again).live == {}
 
 
 def test_a_number_is_not_used_again_while_files_tell_of_it(tmp_path):
     journal = filled(tmp_path)
-    journal.take(kept(9))
+    journal.record_accepted(kept(9))
     journal.flush()
-    journal.end(9)
+    journal.record_end(9)
     journal.flush()
     assert reread(journal).highest == 9
 
@@ -102,14 +104,14 @@
 @pytest.mark.parametrize("cut", range(1, 60))
 def test_a_torn_end_is_left_out_and_is_no_damage(tmp_path, cut):
     journal = filled(tmp_path)
-    journal.end(2)
+    journal.record_end(2)
     journal.flush()
     journal.close()
     (path,) = segments(tmp_path)
     path.write_bytes(path.read_bytes()[:-cut])
     again = opened(tmp_path)
     assert {1} <= set(again.live) and again.report.clean
-    again.take(kept(3))
+    again.record_accepted(kept(3))
     again.flush()
     last = reread(again)
     assert 3 in last.live and last.report.clean
@@ -124,9 +126,9 @@
 def test_damage_in_the_middle_is_told_from_a_torn_end_and_the_rest_is_recovered(tmp_path, caplog):
     # Guards against an unsafe message that is sent twice, since its attempt was in the damaged part.
     journal = opened(tmp_path)
-    journal.take(kept(1, b"first"))
-    journal.take(kept(2, b"the second one"))
-    journal.take(kept(3, b"third"))
+    journal.record_accepted(kept(1, b"first"))
+    journal.record_accepted(kept(2, b"the second one"))
+    journal.record_accepted(kept(3, b"third"))
     journal.flush()
     journal.close()
     (path,) = segments(tmp_path)
@@ -134,7 +136,9 @@
     again = opened(tmp_path)
     assert sorted(again.live) == [1, 3]
     assert again.report.lost == 1 and again.report.damaged > 14 and not again.report.clean
-    assert again.live[1].first_run == ("", kept().taken_at), "an attempt may have been lost: it may have run"
+    assert again.live[1].first_run == ("", kept().accepted_at), (
+        "an attempt may have been lost: it may have run"
+    )
     assert again.live[3].first_run is None, "it was taken on after the lost record"
     assert "1 records lost" in caplog.text
     again.compact()
@@ -143,14 +147,14 @@
     assert len(aside) == 1 and b"the sec0nd one" in aside[0].read_bytes()
     last = reread(again)
     assert sorted(last.live) == [1, 3] and last.report.clean, "the doubt is kept, the damage is not"
-    assert last.live[1].first_run == ("", kept().taken_at)
+    assert last.live[1].first_run == ("", kept().accepted_at)
 
 
 def test_a_damaged_file_is_not_kept_where_the_disk_has_no_room(tmp_path):
     journal = opened(tmp_path, disk=20_000)
-    journal.take(kept(1, bytes(2000)))
-    journal.take(kept(2, b"the second one"))
-    journal.take(kept(3, bytes(1200)))
+    journal.record_accepted(kept(1, bytes(2000)))
+    journal.record_accepted(kept(2, b"the second one"))
+    journal.record_accepted(kept(3, bytes(1200)))
     journal.flush()
     journal.close()
     spoil(segments(tmp_path)[0], b"the second one", b"the sec0nd one")
@@ -163,7 +167,7 @@
 def test_a_whole_segment_that_is_missing_is_damage(tmp_path):
     journal = opened(tmp_path)
     for number in range(1, 4):
-        journal.take(kept(number))
+        journal.record_accepted(kept(number))
         journal.flush()
         journal.roll()
     journal.close()
@@ -176,7 +180,7 @@
 def test_a_damaged_header_costs_no_record(tmp_path):
     journal = opened(tmp_path)
     for number in range(1, 4):
-        journal.take(kept(number))
+        journal.record_accepted(kept(number))
         journal.flush()
         journal.roll()
     journal.close()
@@ -213,7 +217,7 @@
     filled(one).close()
     journal = filled(other)
     journal.roll()
-    journal.take(kept(7))
+    journal.record_accepted(kept(7))
     journal.flush()
     journal.close()
     shutil.copy(segments(other)[1], one)
@@ -264,28 +268,30 @@
     taken, chance = [], random.Random(4)
     for number in range(3000):
         if journal.has_room(500):
-            journal.take(kept(number, bytes(500)))
+            journal.record_accepted(kept(number, bytes(500)))
             taken.append(number)
         else:
-            journal.end(taken.pop(chance.randrange(len(taken))))
+            journal.record_end(taken.pop(chance.randrange(len(taken))))
         journal.flush()
     assert 0.5 * DISK < files.most <= DISK
     assert len(taken) * 900 > 0.35 * DISK, "much less was held than the disk has room for"
-    assert journal.used == sum(on_disk(size) for size in files.names().values()), "the accounts are wrong"
+    assert journal.used == sum(allocated_size(size) for size in files.names().values()), (
+        "the accounts are wrong"
+    )
     assert sorted(reread(journal).live) == taken
 
 
 def test_a_write_that_failed_leaves_no_gap_and_goes_first_at_the_next_flush(tmp_path):
     journal = filled(tmp_path)
     journal.files = FailingFiles(tmp_path, 1, 3, short=True)
-    journal.take(kept(3))
+    journal.record_accepted(kept(3))
     with pytest.raises(OSError, match="No space"):
         journal.flush()
-    assert journal.unsaved and not journal.has_room(1)
-    journal.take(kept(4))
+    assert journal.has_unwritten_records and not journal.has_room(1)
+    journal.record_accepted(kept(4))
     journal.files = Files(tmp_path)
     journal.flush()
-    assert not journal.unsaved
+    assert not journal.has_unwritten_records
     live = journal.live
     again = seen(tmp_path)
     assert again.live == live and again.report.clean and 3 in live
@@ -295,7 +301,7 @@
     # The write does half, and then neither the rest nor the truncation works.
     journal = filled(tmp_path)
     journal.files = FailingFiles(tmp_path, 1, 4, short=True)
-    journal.take(kept(3))
+    journal.record_accepted(kept(3))
     with pytest.raises(OSError, match="No space"):
         journal.flush()
     journal.files = Files(tmp_path)
@@ -308,8 +314,8 @@
 def test_of_a_message_that_was_never_written_nothing_is_written_at_its_end(tmp_path):
     journal = filled(tmp_path)
     size = segments(tmp_path)[0].stat().st_size
-    journal.take(kept(3))
-    journal.end(3)
+    journal.record_accepted(kept(3))
+    journal.record_end(3)
     journal.flush()
     assert segments(tmp_path)[0].stat().st_size == size
 
@@ -319,15 +325,15 @@
     files = FullFiles(tmp_path, DISK)
     journal = opened(tmp_path, files=files)
     for number in range(20):
-        journal.take(kept(number, bytes(500)))
+        journal.record_accepted(kept(number, bytes(500)))
     journal.flush()
-    files.room = sum(on_disk(size) for size in files.names().values())
-    journal.take(kept(20, bytes(2000)))
+    files.room = sum(allocated_size(size) for size in files.names().values())
+    journal.record_accepted(kept(20, bytes(2000)))
     with pytest.raises(OSError, match="No space"):
         journal.flush()
-    journal.end(20)
+    journal.record_end(20)
     for number in range(20):
-        journal.owe(number, "dead", 0.0)
+        journal.record_notice(number, "dead", 0.0)
         journal.flush()
     assert [message.notice for message in seen(tmp_path).live.values()] == [("dead", 0.0)] * 20
     assert not journal.has_room(1), "new messages wait until the reserve is back"
@@ -351,13 +357,13 @@
 def test_a_restart_on_a_full_disk_keeps_what_is_live(tmp_path):
     journal = opened(tmp_path)
     for number in range(100):
-        journal.take(kept(number, bytes(500)))
+        journal.record_accepted(kept(number, bytes(500)))
     journal.flush()
     journal.close()
     files = FullFiles(tmp_path, 0.0)
     again = opened(tmp_path, files=files)
     assert len(again.live) == 100
-    again.end(5)
+    again.record_end(5)
     with pytest.raises(OSError, match="No space"):
         again.flush()
     files.room = DISK
@@ -367,14 +373,14 @@
 
 def test_many_short_lives_do_not_leave_many_files(tmp_path):
     journal = opened(tmp_path)
-    journal.take(kept(1))
+    journal.record_accepted(kept(1))
     for number in range(2, 200):
-        journal.take(kept(number))
-        journal.end(number)
+        journal.record_accepted(kept(number))
+        journal.record_end(number)
         journal.flush()
-        journal.take(kept(1000 + number, b""))
+        journal.record_accepted(kept(1000 + number, b""))
         journal.flush()
-        journal.end(1000 + number)
+        journal.record_end(1000 + number)
         journal.flush()
         journal = reread(journal)
     assert list(journal.live) == [1] and len(segments(tmp_path)) < 70
@@ -383,7 +389,7 @@
 def test_a_hundred_thousand_live_messages_come_back(tmp_path):
     journal = opened(tmp_path, disk=200e6)
     for number in range(100_000):
-        journal.take(kept(number, b"%064d" % number))
+        journal.record_accepted(kept(number, b"%064d" % number))
         if number % 500 == 0:
             journal.flush()
     journal.flush()
@@ -407,15 +413,15 @@
     for step, number in steps:
         message = journal.live.get(number)
         if step == "take" and message is None:
-            journal.take(kept(number))
+            journal.record_accepted(kept(number))
         elif step == "try" and message:
-            journal.attempt(number, message.attempts, "e1", 1000.0 + message.attempts)
+            journal.record_attempt(number, message.attempts, "e1", 1000.0 + message.attempts)
         elif step == "got" and message and message.out:
-            journal.outcome(number, min(message.out), number % 2 == 0)
+            journal.record_outcome(number, min(message.out), number % 2 == 0)
         elif step == "owe" and message and not message.notice:
-            journal.owe(number, "dead", 0.0)
+            journal.record_notice(number, "dead", 0.0)
         elif step == "end" and message:
-            journal.end(number)
+            journal.record_end(number)
         elif step in ("flush", "compact", "roll", "reopen"):
             journal.flush()
             if step == "compact":
@@ -441,30 +447,30 @@
     empty = journal.live_bytes
     first, second = kept(1), kept(2)
     second.id = first.id
-    journal.take(first)
-    journal.owe(1, "dead", 0.0)
-    journal.take(second)
+    journal.record_accepted(first)
+    journal.record_notice(1, "dead", 0.0)
+    journal.record_accepted(second)
     journal.flush()
-    journal.end(1)
+    journal.record_end(1)
     journal.flush()
     again = reread(journal)
     assert list(again.live) == [2] and again.live[2].body == second.body
-    again.end(2)
+    again.record_end(2)
     assert again.live_bytes == empty
 
 
 def test_what_is_cold_is_kept_until_it_is_warm(tmp_path):
     journal = filled(tmp_path)
-    journal.chill("e1", 2.5)
-    journal.chill("e2", 1.0)
-    journal.warm("e2")
+    journal.record_cold("e1", 2.5)
+    journal.record_cold("e2", 1.0)
+    journal.record_warm("e2")
     journal.flush()
     again = reread(journal)
     assert again.cold == {"e1": 2.5}
     again.compact()
     again = reread(again)
     assert again.cold == {"e1": 2.5}, "lost in a compaction"
-    again.warm("e1")
+    again.record_warm("e1")
     again.flush()
     assert reread(again).cold == {}
 
@@ -473,7 +479,7 @@
     # Guards against a pause of the loop: a step copies so many messages and bytes, however many are live.
     journal = opened(tmp_path, disk=50e6)
     for number in range(2000):
-        journal.take(kept(number, bytes(100)))
+        journal.record_accepted(kept(number, bytes(100)))
     journal.flush()
     journal.roll()
     sizes = []
@@ -492,7 +498,7 @@
     files = CountingFiles(tmp_path, 60_000)
     journal = opened(tmp_path, disk=60_000, files=files)
     for number in range(40):
-        journal.take(kept(number, bytes(300)))
+        journal.record_accepted(kept(number, bytes(300)))
     journal.flush()
 
     def broken(name):
@@ -500,8 +506,8 @@
 
     files.unlink = broken
     for number in range(40):
-        journal.end(number)
-        journal.take(kept(100 + number, bytes(300)))
+        journal.record_end(number)
+        journal.record_accepted(kept(100 + number, bytes(300)))
         journal.flush()
     assert sorted(seen(tmp_path).live) == list(range(100, 140))
 
@@ -511,11 +517,11 @@
     # Guards against a start that follows megabytes of small records, most of them of no use any more.
     journal = Journal(tmp_path, 16e6)
     for number in range(1, live + 1):
-        journal.take(Kept(number, b"m%d" % number, "note", 7, 4e9, b"x"))
+        journal.record_accepted(JournalEntry(number, b"m%d" % number, "note", 7, 4e9, b"x"))
     most = 0
     for turn in range(20_000):
-        journal.attempt(turn % live + 1, turn, "e1", 1000.0)
-        journal.outcome(turn % live + 1, turn, False)
+        journal.record_attempt(turn % live + 1, turn, "e1", 1000.0)
+        journal.record_outcome(turn % live + 1, turn, False)
         journal.flush()
         most = max(most, journal.sequence - journal.segments[0].base)
     kept = {number: message.attempts for number, message in journal.live.items()}
--- a/tests/test_journal_cli.py
+++ b/tests/test_journal_cli.py
@@ -6,14 +6,16 @@
 from doubles import ROOT
 
 from rushhitch.cli import main
-from rushhitch.journal import Journal, Kept
+from rushhitch.journal import Journal, JournalEntry
 
 
 def journal_with(folder, *numbers):
     journal = Journal(folder, 1e6)
     for number in numbers:
-        journal.take(
-            Kept(number, b"m%d" % number, "pay", 7, 2_000_000_000.0, b"body", taken_at=1_700_000_000.0)
+        journal.record_accepted(
+            JournalEntry(
+                number, b"m%d" % number, "pay", 7, 2_000_000_000.0, b"body", accepted_at=1_700_000_000.0
+            )
         )
     journal.flush()
     return journal
@@ -21,11 +23,11 @@
 
 def test_inspect_tells_who_is_live_where_tried_and_what_is_owed(tmp_path, capsys):
     journal = journal_with(tmp_path, 1, 2, 3)
-    journal.attempt(1, 0, "e1", 1_700_000_001.0)
-    journal.attempt(2, 0, "e2", 1_700_000_001.0)
-    journal.outcome(2, 0, False)
-    journal.owe(3, "bounced", 300.0)
-    journal.chill("e2", 2.5)
+    journal.record_attempt(1, 0, "e1", 1_700_000_001.0)
+    journal.record_attempt(2, 0, "e2", 1_700_000_001.0)
+    journal.record_outcome(2, 0, False)
+    journal.record_notice(3, "bounced", 300.0)
+    journal.record_cold("e2", 2.5)
     journal.flush()
     assert main(["journal", "inspect", str(tmp_path)]) == 0, "it works beside a running dispatcher"
     told = capsys.readouterr().out
@@ -56,7 +58,7 @@
 def test_compact_wants_the_dispatcher_down(tmp_path, capsys):
     journal = journal_with(tmp_path, *range(500))
     for number in range(400):
-        journal.end(number)
+        journal.record_end(number)
     journal.flush()
     assert main(["journal", "compact", str(tmp_path)]) == 2
     assert "held by another process: stop that one first" in capsys.readouterr().err
--- a/tests/test_journal_crash.py
+++ b/tests/test_journal_crash.py
@@ -10,8 +10,8 @@
 from crowpier import Dispatcher
 from crowpier.interface import MessageAccepted
 from lab.disk import HOWS, CountingFiles, Crash, CrashingFiles, FailingFiles, FullFiles
-from rushhitch.journal import Journal, Kept
-from rushhitch.journal.files import on_disk
+from rushhitch.journal import Journal, JournalEntry
+from rushhitch.journal.files import allocated_size
 
 MESSAGES = 60
 ROOM = 60_000.0  # bytes of disk: for their identities too
@@ -234,7 +234,7 @@
             settle(outside)
             outside.check()
             assert b"m%d" % number in outside.delivered, "the journal did not heal"
-            assert not life.journal.unsaved
+            assert not life.journal.has_unwritten_records
             files.die()
 
         virtual(work)
@@ -282,7 +282,7 @@
 
         def filled():
             if life.journal.segments[0].live and files.room == DISK:
-                files.room = sum(on_disk(size) for size in files.names().values())
+                files.room = sum(allocated_size(size) for size in files.names().values())
             return step()
 
         life.journal.step = filled
@@ -336,7 +336,7 @@
     # Guards against messages of one key that overtake each other at a restart: the lab saw it.
     journal = Journal(tmp_path, DISK)
     for number in range(1, 6):
-        journal.take(Kept(number, b"m%d" % number, "note", 7, WALL + 1e6, b"", key=3))
+        journal.record_accepted(JournalEntry(number, b"m%d" % number, "note", 7, WALL + 1e6, b"", key=3))
         journal.flush()
         if number == 2:
             journal.roll()
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -17,7 +17,7 @@
 from rushhitch.core.operator_commands import OperatorCommands
 from rushhitch.journal import Journal, Sync
 from rushhitch.journal.files import Files
-from rushhitch.journal.side import DRAFT
+from rushhitch.journal.sidecar import DRAFT
 from rushhitch.partners.codec import Attempt
 
 FIRST, SECOND = Entry("e1", 1), Entry("e2", 1)
