--- a/rushhitch/discovery.py
+++ b/rushhitch/discovery.py
@@ -42,7 +42,7 @@
 BROKEN = (OSError, TimeoutError, h11.ProtocolError, ValueError)
 
 
-class Asks:
+class ReconnectSchedule:
     """When to ask for a watch. Discovery is one service for all dispatchers and works through their calls in
     turn: where all ask at once, as after an outage of its own or a release, each call waits too long and all
     fail again. So those who lose their watch together are spread by chance over a period, and each keeps the
@@ -194,26 +194,26 @@
         dispatchers: int = 1,
     ) -> None:
         self.address, self.version, self.told = address, version, told
-        self.silence_s, self.asks = silence_s, Asks(chance, dispatchers)
+        self.silence_s, self.schedule = silence_s, ReconnectSchedule(chance, dispatchers)
 
     def move(self, address: tuple[str, int]) -> None:
         """The next `run` opens its watch there at once, from the version known."""
         self.address = address
-        self.asks.heard()
+        self.schedule.heard()
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(self.asks.first())
+        await asyncio.sleep(self.schedule.first())
         while True:
             connection, asked_at = await self.opened()
             try:
                 await self.listen(connection)
             except Silent:
                 log.info("watch ended: it fell silent")
-                rest_s = self.asks.soon()
+                rest_s = self.schedule.soon()
             except Exception as error:
                 self.note(error)
-                rest_s = self.asks.ended(loop.time() - asked_at)
+                rest_s = self.schedule.ended(loop.time() - asked_at)
             finally:
                 connection.close()
             await asyncio.sleep(rest_s)
@@ -236,11 +236,11 @@
                         if not isinstance(answer := call.result(), float):
                             return answer, began
                         if call is newest:
-                            due = began + self.asks.rest(answer)
+                            due = began + self.schedule.rest(answer)
                         elif newest in calls:  # with no word yet: what an older one heard counts
-                            due = began + self.asks.beside(answer)
+                            due = began + self.schedule.beside(answer)
                     if not done:
-                        due = began + self.asks.beside()
+                        due = began + self.schedule.beside()
                 await asyncio.sleep(due - loop.time())
         finally:
             for call in calls:
@@ -286,7 +286,7 @@
                         pass
             except TimeoutError:
                 raise Silent from None
-            self.asks.heard()
+            self.schedule.heard()
             for line in lines:
                 if line:
                     self.read(line)
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -183,7 +183,7 @@
         else:
             resume(node)
         if any(message.kept.destination not in node.listing.destinations for message in node.by_id.values()):
-            self.watch.asks.spread_s = 0.0  # held messages wait for a list: it is asked for at once
+            self.watch.schedule.spread_s = 0.0  # held messages wait for a list: it is asked for at once
         self.platform.start()
         if self.planners is not None:
             self.planners.start()
@@ -253,7 +253,7 @@
         self.sizing = self.loop.call_later(SIZE_S, self.size)
         most = self.member.bounds(self.loop.time()).most
         self.node.resize(most)
-        self.watch.asks.resize(most)
+        self.watch.schedule.resize(most)
 
     def hand_membership(self) -> dict[str, Any]:
         """The process that goes on is the same member, in a higher incarnation: nobody hears of a leave."""
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize("dispatchers", [1, 5, 200, 5000])
 def test_what_a_silent_watch_misses_is_asked_for_before_it_counts_as_told(dispatchers):
     # A watch says its last word up to 2 s before its silence can begin to count; 1 s is left for the answer.
-    asks = discovery.Asks(random.Random(1), dispatchers)
+    asks = discovery.ReconnectSchedule(random.Random(1), dispatchers)
     latest = max(asks.soon() for _ in range(1000))
     assert discovery.SILENCE_S + latest + 1.0 <= 6.0
     assert discovery.SILENCE_S > 2.0 + 1.0, "one late word is no silence"
@@ -256,7 +256,7 @@
         await told.get()
         notices.add(1, b"m1", "dead", 0.0)
         unanswered = await old.next()
-        watch.asks.failures = 16
+        watch.schedule.failures = 16
         platform.move(new.address)
         requests = {request.target: request for request in (await new.next(), await new.next())}
         assert set(requests) == {"/discovery/hosts?watch=1&from=42", "/status"}
@@ -264,7 +264,7 @@
         requests["/status"].answer(204)
         assert await heard.get() == 1
         assert await request.ended() and await unanswered.ended()
-        assert watch.asks.failures == 0
+        assert watch.schedule.failures == 0
         platform.stop()
 
     run(work())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 from fleet import UNSAFE, Fleet, Target
 
 from crowpier.interface import Entry, Listed, ListKind, State
-from rushhitch.discovery import ANSWER_S, Asks
+from rushhitch.discovery import ANSWER_S, ReconnectSchedule
 
 SEEDS = (1, 2, 3)
 
@@ -152,7 +152,7 @@
     directory, failed, watching = Overbooked(0.15), 0, 0
     queue = []
     for number in range(40):
-        asks = Asks(random.Random(1000 * seed + number), 40)
+        asks = ReconnectSchedule(random.Random(1000 * seed + number), 40)
         queue.append((asks.ended(60.0) if after_an_outage else asks.first(), number, asks))
     heapq.heapify(queue)
     while queue:
@@ -170,7 +170,7 @@
 
 def test_one_who_asks_in_vain_is_never_silent_for_ten_seconds():
     for dispatchers in (1, 3, 40, 4000):
-        asks = Asks(random.Random(dispatchers), dispatchers)
+        asks = ReconnectSchedule(random.Random(dispatchers), dispatchers)
         first = asks.first()
         assert max([first] + [asks.rest() for _ in range(200)]) < 10.0 - ANSWER_S
         assert dispatchers > 3 or first < 0.3
@@ -179,14 +179,14 @@
 def test_with_more_dispatchers_each_asks_more_rarely_and_with_fewer_sooner():
     rests = []
     for dispatchers in (40, 2):
-        asks = Asks(random.Random(1), 40)
+        asks = ReconnectSchedule(random.Random(1), 40)
         asks.resize(dispatchers)
         rests.append(asks.rest())
     assert rests[1] < 0.5 < rests[0]
 
 
 def test_a_watch_that_moves_asks_at_once_however_many_there_are():
-    asks = Asks(random.Random(1), 40)
+    asks = ReconnectSchedule(random.Random(1), 40)
     assert asks.first() > 0.0 and asks.first() == 0.0
 
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -19,7 +19,7 @@
     SILENCE_S,
     SOON_S,
     WAITED_S,
-    Asks,
+    ReconnectSchedule,
 )
 
 TOLD_S = 6.0  # after it could be reached, what discovery has counts as told
@@ -187,7 +187,7 @@
 
 
 def test_calls_that_are_refused_late_become_rarer_only_after_many_where_discovery_may_be_down():
-    asks = Asks(random.Random(1), 200)
+    asks = ReconnectSchedule(random.Random(1), 200)
     rests = [asks.rest(2.0) for _ in range(60)]
     assert max(rests[:CROWDED_CALLS]) == CROWDED_S and rests[1:CROWDED_CALLS] == [CROWDED_S] * (
         CROWDED_CALLS - 1
@@ -195,9 +195,9 @@
     assert RARE_S <= rests[CROWDED_CALLS] <= RARE_S + RARER_S < max(rests) <= RAREST_S
     assert asks.rest(0.1) == AGAIN_S, "it may be back, and have refused this one"
     assert asks.rest(0.1) == PERIOD_S and asks.rest(2.0) <= CROWDED_S, "another word is a new beginning"
-    few = Asks(random.Random(1), 5)
+    few = ReconnectSchedule(random.Random(1), 5)
     assert max(few.rest(2.0) for _ in range(50)) <= PERIOD_S, "so few do not crowd it"
-    moved = [Asks(random.Random(seed), 20) for seed in range(20)]
+    moved = [ReconnectSchedule(random.Random(seed), 20) for seed in range(20)]
     for one in moved:
         one.first(), one.heard(), one.first()
     assert len({one.rest(1.5) for one in moved}) == 20, "nor go on in step"
@@ -205,7 +205,7 @@
 
 def test_calls_that_are_refused_late_become_rarer_at_once_where_discovery_said_at_once_that_it_was_down():
     for failed in ((0.1, 0.1), (-math.inf, 0.1)):
-        asks = Asks(random.Random(1), 200)
+        asks = ReconnectSchedule(random.Random(1), 200)
         for waited_s in failed:
             asks.rest(waited_s)
         rests = [asks.rest(2.0) for _ in range(50)]
@@ -213,7 +213,7 @@
         asks.heard()
         assert asks.rest(2.0) <= CROWDED_S, "what was before a word of the watch is over"
     for failed in ((0.1,), (0.1, 2.0, 0.1, 0.1)):  # a refusal of one; the return of one that was down
-        asks = Asks(random.Random(1), 200)
+        asks = ReconnectSchedule(random.Random(1), 200)
         for waited_s in failed:
             asks.rest(waited_s)
         assert asks.rest(2.0) <= CROWDED_S
@@ -228,7 +228,7 @@
 
 
 def test_a_watch_that_ends_at_once_is_not_asked_for_more_often_than_calls_that_fail():
-    asks = Asks(random.Random(1), 200)
+    asks = ReconnectSchedule(random.Random(1), 200)
     assert all(0.5 + asks.ended(0.5) >= PERIOD_S for _ in range(100))
     spread = [asks.ended(60.0) for _ in range(1000)]
     assert min(spread) < 0.1 and 2.3 < max(spread) <= PERIOD_S
@@ -236,7 +236,7 @@
 
 def test_those_who_asked_at_once_do_not_go_on_in_step():
     # Guards against all moved by one configuration, which keep their places from then on.
-    asks = [Asks(random.Random(seed), 200) for seed in range(200)]
+    asks = [ReconnectSchedule(random.Random(seed), 200) for seed in range(200)]
     for waited_s, top_s in ((0.1, PERIOD_S), (2.0, CROWDED_S)):
         for one in asks:
             one.spread_s = 0.0
@@ -257,7 +257,7 @@
 
 
 def test_only_the_first_refusal_after_a_silence_is_answered_by_asking_again_at_once():
-    asks = Asks(random.Random(1), 200)
+    asks = ReconnectSchedule(random.Random(1), 200)
     asks.soon()
     assert asks.rest(0.1) == AGAIN_S and asks.rest(0.1) == PERIOD_S
     asks.soon()
