--- a/rushhitch/discovery.py
+++ b/rushhitch/discovery.py
@@ -52,7 +52,7 @@
         self.chance, self.failures, self.late, self.at_once = chance, 0, 0, 0
         self.hurried, self.rested, self.placed = False, False, True
         self.resize(dispatchers)
-        self.spread_s = min(self.share_s, PERIOD_S)
+        self.initial_spread_s = min(self.share_s, PERIOD_S)
 
     def resize(self, dispatchers: int) -> None:
         """So many ask from now on, this one among them."""
@@ -63,24 +63,24 @@
         """Whether they may crowd discovery."""
         return self.share_s > PERIOD_S
 
-    def first(self) -> float:
+    def initial_delay(self) -> float:
         """Seconds until the first of the process; one at a new address comes at once, the list may be old."""
-        spread_s, self.spread_s = self.spread_s, 0.0
-        self.placed = spread_s > 0.0 or self.share_s == 0.0
-        return self.chance.random() * spread_s
+        initial_spread_s, self.initial_spread_s = self.initial_spread_s, 0.0
+        self.placed = initial_spread_s > 0.0 or self.share_s == 0.0
+        return self.chance.random() * initial_spread_s
 
-    def heard(self) -> None:
+    def reset(self) -> None:
         """A watch told something: what failed before is over."""
         self.failures, self.late, self.at_once = 0, 0, 0
         self.hurried = self.rested = False
 
-    def soon(self) -> float:
+    def delay_after_silence(self) -> float:
         """Seconds until the one in place of a watch that fell silent: what it misses may count as told soon.
         Watches fall silent at moments of their own, so those who ask are spread by more than this."""
         self.hurried, self.placed = True, True
         return self.chance.random() * min(self.share_s, SOON_S)
 
-    def ended(self, lasted_s: float) -> float:
+    def delay_after_end(self, lasted_s: float) -> float:
         """Seconds until the one in place of a watch that ended `lasted_s` after it was asked for."""
         placed, self.placed = self.placed, True
         period_s = self.period()
@@ -88,7 +88,7 @@
             return period_s - lasted_s
         return self.chance.random() * period_s
 
-    def rest(self, waited_s: float = -math.inf) -> float:
+    def delay_after_failure(self, waited_s: float = -math.inf) -> float:
         """Seconds from the beginning of one that failed to the next. Where discovery refused it, `waited_s`
         tells how long after the request. After a silence or a long rest, one that is refused comes again at
         once: discovery may be back, and have refused this one call."""
@@ -105,7 +105,7 @@
         self.late = 0
         return self.place(waited_s, self.period())
 
-    def beside(self, waited_s: float = -math.inf) -> float:
+    def delay_to_parallel_call(self, waited_s: float = -math.inf) -> float:
         """Seconds from the beginning of one with no answer to one beside it; an older one was refused after
         `waited_s`."""
         if self.late:
@@ -199,21 +199,21 @@
     def move(self, address: tuple[str, int]) -> None:
         """The next `run` opens its watch there at once, from the version known."""
         self.address = address
-        self.schedule.heard()
+        self.schedule.reset()
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(self.schedule.first())
+        await asyncio.sleep(self.schedule.initial_delay())
         while True:
             connection, asked_at = await self.opened()
             try:
                 await self.listen(connection)
             except Silent:
                 log.info("watch ended: it fell silent")
-                rest_s = self.schedule.soon()
+                rest_s = self.schedule.delay_after_silence()
             except Exception as error:
                 self.note(error)
-                rest_s = self.schedule.ended(loop.time() - asked_at)
+                rest_s = self.schedule.delay_after_end(loop.time() - asked_at)
             finally:
                 connection.close()
             await asyncio.sleep(rest_s)
@@ -236,11 +236,11 @@
                         if not isinstance(answer := call.result(), float):
                             return answer, began
                         if call is newest:
-                            due = began + self.schedule.rest(answer)
+                            due = began + self.schedule.delay_after_failure(answer)
                         elif newest in calls:  # with no word yet: what an older one heard counts
-                            due = began + self.schedule.beside(answer)
+                            due = began + self.schedule.delay_to_parallel_call(answer)
                     if not done:
-                        due = began + self.schedule.beside()
+                        due = began + self.schedule.delay_to_parallel_call()
                 await asyncio.sleep(due - loop.time())
         finally:
             for call in calls:
@@ -286,7 +286,7 @@
                         pass
             except TimeoutError:
                 raise Silent from None
-            self.schedule.heard()
+            self.schedule.reset()
             for line in lines:
                 if line:
                     self.read(line)
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -183,7 +183,9 @@
         else:
             resume(node)
         if any(message.kept.destination not in node.listing.destinations for message in node.by_id.values()):
-            self.watch.schedule.spread_s = 0.0  # held messages wait for a list: it is asked for at once
+            self.watch.schedule.initial_spread_s = (
+                0.0  # held messages wait for a list: it is asked for at once
+            )
         self.platform.start()
         if self.planners is not None:
             self.planners.start()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -106,7 +106,7 @@
 def test_what_a_silent_watch_misses_is_asked_for_before_it_counts_as_told(dispatchers):
     # A watch says its last word up to 2 s before its silence can begin to count; 1 s is left for the answer.
     asks = discovery.ReconnectSchedule(random.Random(1), dispatchers)
-    latest = max(asks.soon() for _ in range(1000))
+    latest = max(asks.delay_after_silence() for _ in range(1000))
     assert discovery.SILENCE_S + latest + 1.0 <= 6.0
     assert discovery.SILENCE_S > 2.0 + 1.0, "one late word is no silence"
     if dispatchers >= 200:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -153,7 +153,7 @@
     queue = []
     for number in range(40):
         asks = ReconnectSchedule(random.Random(1000 * seed + number), 40)
-        queue.append((asks.ended(60.0) if after_an_outage else asks.first(), number, asks))
+        queue.append((asks.delay_after_end(60.0) if after_an_outage else asks.initial_delay(), number, asks))
     heapq.heapify(queue)
     while queue:
         now, number, asks = heapq.heappop(queue)
@@ -164,15 +164,15 @@
             watching += 1
         else:
             failed += 1
-            heapq.heappush(queue, (max(at, now + asks.rest(at - now)), number, asks))
+            heapq.heappush(queue, (max(at, now + asks.delay_after_failure(at - now)), number, asks))
     assert watching == 40 and failed < 40, f"seed {seed}: {watching} watch, {failed} asked in vain"
 
 
 def test_one_who_asks_in_vain_is_never_silent_for_ten_seconds():
     for dispatchers in (1, 3, 40, 4000):
         asks = ReconnectSchedule(random.Random(dispatchers), dispatchers)
-        first = asks.first()
-        assert max([first] + [asks.rest() for _ in range(200)]) < 10.0 - ANSWER_S
+        first = asks.initial_delay()
+        assert max([first] + [asks.delay_after_failure() for _ in range(200)]) < 10.0 - ANSWER_S
         assert dispatchers > 3 or first < 0.3
 
 
@@ -181,13 +181,13 @@
     for dispatchers in (40, 2):
         asks = ReconnectSchedule(random.Random(1), 40)
         asks.resize(dispatchers)
-        rests.append(asks.rest())
+        rests.append(asks.delay_after_failure())
     assert rests[1] < 0.5 < rests[0]
 
 
 def test_a_watch_that_moves_asks_at_once_however_many_there_are():
     asks = ReconnectSchedule(random.Random(1), 40)
-    assert asks.first() > 0.0 and asks.first() == 0.0
+    assert asks.initial_delay() > 0.0 and asks.initial_delay() == 0.0
 
 
 def test_a_route_that_goes_leaves_its_part_of_the_calls_to_the_others():
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -188,35 +188,37 @@
 
 def test_calls_that_are_refused_late_become_rarer_only_after_many_where_discovery_may_be_down():
     asks = ReconnectSchedule(random.Random(1), 200)
-    rests = [asks.rest(2.0) for _ in range(60)]
+    rests = [asks.delay_after_failure(2.0) for _ in range(60)]
     assert max(rests[:CROWDED_CALLS]) == CROWDED_S and rests[1:CROWDED_CALLS] == [CROWDED_S] * (
         CROWDED_CALLS - 1
     )
     assert RARE_S <= rests[CROWDED_CALLS] <= RARE_S + RARER_S < max(rests) <= RAREST_S
-    assert asks.rest(0.1) == AGAIN_S, "it may be back, and have refused this one"
-    assert asks.rest(0.1) == PERIOD_S and asks.rest(2.0) <= CROWDED_S, "another word is a new beginning"
+    assert asks.delay_after_failure(0.1) == AGAIN_S, "it may be back, and have refused this one"
+    assert asks.delay_after_failure(0.1) == PERIOD_S and asks.delay_after_failure(2.0) <= CROWDED_S, (
+        "another word is a new beginning"
+    )
     few = ReconnectSchedule(random.Random(1), 5)
-    assert max(few.rest(2.0) for _ in range(50)) <= PERIOD_S, "so few do not crowd it"
+    assert max(few.delay_after_failure(2.0) for _ in range(50)) <= PERIOD_S, "so few do not crowd it"
     moved = [ReconnectSchedule(random.Random(seed), 20) for seed in range(20)]
     for one in moved:
-        one.first(), one.heard(), one.first()
-    assert len({one.rest(1.5) for one in moved}) == 20, "nor go on in step"
+        one.initial_delay(), one.reset(), one.initial_delay()
+    assert len({one.delay_after_failure(1.5) for one in moved}) == 20, "nor go on in step"
 
 
 def test_calls_that_are_refused_late_become_rarer_at_once_where_discovery_said_at_once_that_it_was_down():
     for failed in ((0.1, 0.1), (-math.inf, 0.1)):
         asks = ReconnectSchedule(random.Random(1), 200)
         for waited_s in failed:
-            asks.rest(waited_s)
-        rests = [asks.rest(2.0) for _ in range(50)]
+            asks.delay_after_failure(waited_s)
+        rests = [asks.delay_after_failure(2.0) for _ in range(50)]
         assert RARE_S <= rests[0] <= RARE_S + RARER_S < max(rests) <= RAREST_S
-        asks.heard()
-        assert asks.rest(2.0) <= CROWDED_S, "what was before a word of the watch is over"
+        asks.reset()
+        assert asks.delay_after_failure(2.0) <= CROWDED_S, "what was before a word of the watch is over"
     for failed in ((0.1,), (0.1, 2.0, 0.1, 0.1)):  # a refusal of one; the return of one that was down
         asks = ReconnectSchedule(random.Random(1), 200)
         for waited_s in failed:
-            asks.rest(waited_s)
-        assert asks.rest(2.0) <= CROWDED_S
+            asks.delay_after_failure(waited_s)
+        assert asks.delay_after_failure(2.0) <= CROWDED_S
 
 
 def test_a_refusal_of_an_older_call_says_nothing_once_the_newest_was_refused(monkeypatch):
@@ -229,8 +231,8 @@
 
 def test_a_watch_that_ends_at_once_is_not_asked_for_more_often_than_calls_that_fail():
     asks = ReconnectSchedule(random.Random(1), 200)
-    assert all(0.5 + asks.ended(0.5) >= PERIOD_S for _ in range(100))
-    spread = [asks.ended(60.0) for _ in range(1000)]
+    assert all(0.5 + asks.delay_after_end(0.5) >= PERIOD_S for _ in range(100))
+    spread = [asks.delay_after_end(60.0) for _ in range(1000)]
     assert min(spread) < 0.1 and 2.3 < max(spread) <= PERIOD_S
 
 
@@ -239,18 +241,18 @@
     asks = [ReconnectSchedule(random.Random(seed), 200) for seed in range(200)]
     for waited_s, top_s in ((0.1, PERIOD_S), (2.0, CROWDED_S)):
         for one in asks:
-            one.spread_s = 0.0
-            one.heard()
-        assert {one.first() for one in asks} == {0.0}
-        rests = sorted(one.rest(waited_s) for one in asks)
+            one.initial_spread_s = 0.0
+            one.reset()
+        assert {one.initial_delay() for one in asks} == {0.0}
+        rests = sorted(one.delay_after_failure(waited_s) for one in asks)
         assert rests[0] < waited_s + 0.1 and rests[-1] <= top_s
         assert max(b - a for a, b in zip(rests, rests[10:], strict=False)) < 0.4
         if waited_s >= WAITED_S:
-            assert {one.rest(0.1) for one in asks} == {AGAIN_S}, "each after a rest of its own"
-        assert {one.rest(0.1) for one in asks} == {PERIOD_S}
+            assert {one.delay_after_failure(0.1) for one in asks} == {AGAIN_S}, "each after a rest of its own"
+        assert {one.delay_after_failure(0.1) for one in asks} == {PERIOD_S}
     for one in asks:
-        one.first()
-    besides = sorted(one.beside() for one in asks)
+        one.initial_delay()
+    besides = sorted(one.delay_to_parallel_call() for one in asks)
     assert besides[0] < PERIOD_S + 0.1 and CROWDED_S - 0.1 < besides[-1] <= CROWDED_S, (
         "nor where they get no answer"
     )
@@ -258,7 +260,7 @@
 
 def test_only_the_first_refusal_after_a_silence_is_answered_by_asking_again_at_once():
     asks = ReconnectSchedule(random.Random(1), 200)
-    asks.soon()
-    assert asks.rest(0.1) == AGAIN_S and asks.rest(0.1) == PERIOD_S
-    asks.soon()
-    assert asks.rest() == PERIOD_S, "nobody was there to refuse"
+    asks.delay_after_silence()
+    assert asks.delay_after_failure(0.1) == AGAIN_S and asks.delay_after_failure(0.1) == PERIOD_S
+    asks.delay_after_silence()
+    assert asks.delay_after_failure() == PERIOD_S, "nobody was there to refuse"
