--- a/rushhitch/discovery.py
+++ b/rushhitch/discovery.py
@@ -310,7 +310,7 @@
     """The platform cannot read what it was sent."""
 
 
-class Notices:
+class NoticeSender:
     """Tells the platform of each end until it has heard: 204 is its word for that."""
 
     def __init__(self, address: tuple[str, int], heard: Callable[[int], None]) -> None:
@@ -435,7 +435,7 @@
 class Platform:
     """The watch and the notices at work, at one address at a time."""
 
-    def __init__(self, watch: Watch, notices: Notices) -> None:
+    def __init__(self, watch: Watch, notices: NoticeSender) -> None:
         self.watch, self.notices = watch, notices
         self.tasks: list[asyncio.Task[None]] = []
 
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -38,7 +38,7 @@
 from rushhitch.core.operators import Operators
 from rushhitch.core.resumption import resume
 from rushhitch.core.state_transfer import StateTransfer
-from rushhitch.discovery import Notices, Platform, Watch
+from rushhitch.discovery import NoticeSender, Platform, Watch
 from rushhitch.fronts.listener import Clients
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.journal import Journal
@@ -124,7 +124,7 @@
         self.journal = journal = inheritance.journal
         bans, kept = Bans(journal), KeptSettings(journal)
         most_clients, most_connections = shares(configuration)
-        self.notices = Notices(configuration.discovery, lambda number: node.notice_heard(number))
+        self.notices = NoticeSender(configuration.discovery, lambda number: node.notice_heard(number))
         spoken = codecs(configuration.own)
         check_classes(configuration)
         settings = in_force(configuration)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,7 +8,7 @@
 from doubles import Peer, run
 
 from rushhitch import discovery
-from rushhitch.discovery import Notices, Platform, Watch
+from rushhitch.discovery import NoticeSender, Platform, Watch
 
 
 def with_watch(silence_s=30.0):
@@ -170,7 +170,7 @@
 def with_notices(test):
     async def work():
         platform, heard = await Peer().start(), asyncio.Queue()
-        notices = Notices(platform.address, heard.put_nowait)
+        notices = NoticeSender(platform.address, heard.put_nowait)
         task = asyncio.create_task(notices.run())
         await test(platform, notices, heard)
         task.cancel()
@@ -247,7 +247,7 @@
         old, new = await Peer().start(), await Peer().start()
         told, heard = asyncio.Queue(), asyncio.Queue()
         watch = Watch(old.address, 41, told.put_nowait, random.Random(1))
-        notices = Notices(old.address, heard.put_nowait)
+        notices = NoticeSender(old.address, heard.put_nowait)
         platform = Platform(watch, notices)
         platform.start()
         request = await old.next()
--- a/tests/test_unheard_elsewhere.py
+++ b/tests/test_unheard_elsewhere.py
@@ -16,7 +16,7 @@
 from rushhitch.control.bans import Bans
 from rushhitch.core.operators import Operators
 from rushhitch.core.state_transfer import StateTransfer
-from rushhitch.discovery import Notices, Platform, Watch
+from rushhitch.discovery import NoticeSender, Platform, Watch
 from rushhitch.fronts.listener import Clients
 from rushhitch.service import Desk
 from rushhitch.succession.handover import Handover
@@ -31,7 +31,7 @@
     async def work():
         platform = await Peer().start()
         heard = []
-        notices = Notices(platform.address, heard.append)
+        notices = NoticeSender(platform.address, heard.append)
         task = asyncio.get_running_loop().create_task(notices.run())
         notices.add(1, b"m1", "bounced", 500.0)
         first = await platform.next()
@@ -56,7 +56,7 @@
     async def work():
         platform = await Peer().start()
         heard = asyncio.Queue()
-        notices = Notices(platform.address, heard.put_nowait)
+        notices = NoticeSender(platform.address, heard.put_nowait)
         loop = asyncio.get_running_loop()
         tasks = [loop.create_task(notices.run()), loop.create_task(late(platform))]
         notices.add(1, b"m1", "dead", 0.0)
@@ -79,7 +79,7 @@
     async def work():
         platform = await Peer().start()
         heard = asyncio.Queue()
-        notices = Notices(platform.address, heard.put_nowait)
+        notices = NoticeSender(platform.address, heard.put_nowait)
         task = asyncio.get_running_loop().create_task(notices.run())
         for number in range(10):
             notices.add(number, b"m%d" % number, "dead", 0.0)
@@ -105,7 +105,7 @@
     async def work():
         peer = await Peer().start()
         watch = Watch(peer.address, 41, lambda news: None, random.Random(1))
-        notices = Notices(peer.address, lambda number: None)
+        notices = NoticeSender(peer.address, lambda number: None)
         platform = Platform(watch, notices)
         platform.start()
         notices.add(1, b"m1", "dead", 0.0)
