--- a/rushhitch/discovery.py
+++ b/rushhitch/discovery.py
@@ -432,7 +432,7 @@
             self.connection = None
 
 
-class Platform:
+class PlatformClient:
     """The watch and the notices at work, at one address at a time."""
 
     def __init__(self, watch: Watch, notices: NoticeSender) -> None:
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -38,7 +38,7 @@
 from rushhitch.core.operators import Operators
 from rushhitch.core.resumption import resume
 from rushhitch.core.state_transfer import StateTransfer
-from rushhitch.discovery import NoticeSender, Platform, Watch
+from rushhitch.discovery import NoticeSender, PlatformClient, Watch
 from rushhitch.fronts.listener import Clients
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.journal import Journal
@@ -157,7 +157,7 @@
             random.Random(configuration.seed),
             dispatchers=configuration.settings.dispatchers,
         )
-        self.platform = Platform(self.watch, self.notices)
+        self.platform = PlatformClient(self.watch, self.notices)
         self.transfer, operators = StateTransfer(node), Operators(node)
         self.handover = Handover(
             configuration.state,
@@ -465,7 +465,11 @@
 
 
 async def reload(
-    changed: asyncio.Event, configuration: Configuration, node: Node, kept: KeptSettings, platform: Platform
+    changed: asyncio.Event,
+    configuration: Configuration,
+    node: Node,
+    kept: KeptSettings,
+    platform: PlatformClient,
 ) -> None:
     """After each SIGHUP, go on with the file's `settings` and `discovery`, or with neither; all else in it
     waits for a restart."""
--- a/tests/test_unheard_elsewhere.py
+++ b/tests/test_unheard_elsewhere.py
@@ -16,7 +16,7 @@
 from rushhitch.control.bans import Bans
 from rushhitch.core.operators import Operators
 from rushhitch.core.state_transfer import StateTransfer
-from rushhitch.discovery import NoticeSender, Platform, Watch
+from rushhitch.discovery import NoticeSender, PlatformClient, Watch
 from rushhitch.fronts.listener import Clients
 from rushhitch.service import Desk
 from rushhitch.succession.handover import Handover
@@ -106,7 +106,7 @@
         peer = await Peer().start()
         watch = Watch(peer.address, 41, lambda news: None, random.Random(1))
         notices = NoticeSender(peer.address, lambda number: None)
-        platform = Platform(watch, notices)
+        platform = PlatformClient(watch, notices)
         platform.start()
         notices.add(1, b"m1", "dead", 0.0)
         for _ in range(2):
