--- a/rushhitch/connection.py
+++ b/rushhitch/connection.py
@@ -41,14 +41,14 @@
 
 class Connection:
     """Sends requests one at a time. `written` says whether the last byte of the newest one has gone out,
-    `head` how its answer begins, past any 1xx."""
+    `response_start` how its answer begins, past any 1xx."""
 
     def __init__(self, sock: socket.socket, address: tuple[str, int], came_up_s: float = 0.0) -> None:
         self.sock, self.address, self.http = sock, address, h11.Connection(h11.CLIENT)
-        self.look_s = min(max(LOOK_CONNECTS * came_up_s, LOOK_S), LOOK_TOP_S)
+        self.last_byte_delay_s = min(max(LOOK_CONNECTS * came_up_s, LOOK_S), LOOK_TOP_S)
         self.loop = asyncio.get_running_loop()
-        self.written, self.head, self.interim = False, b"", 0
-        self.begun: Callable[[], None] | None = None  # called as an answer proper begins
+        self.written, self.response_start, self.interim = False, b"", 0
+        self.on_response_start: Callable[[], None] | None = None  # called as an answer proper begins
 
     @classmethod
     async def open(cls, address: tuple[str, int]) -> Connection:
@@ -82,7 +82,7 @@
         `record` then writes down that the request is sent, and `commit` is asked whether it still is to be,
         in the same step as the system call that writes the byte.
         """
-        self.written, self.head, self.interim = False, b"", 0
+        self.written, self.response_start, self.interim = False, b"", 0
         headers = [(b"Host", "{}:{}".format(*self.address).encode()), *headers]
         if method == "POST":
             headers.append((b"Content-Length", b"%d" % len(body)))
@@ -124,7 +124,9 @@
         """Watch the connection for a moment; raise if it ends, or if an answer comes before its request is
         whole: it may say that nothing more is wanted."""
         stirred = self.loop.create_future()
-        timer = self.loop.call_later(self.look_s, lambda: stirred.done() or stirred.set_result(None))
+        timer = self.loop.call_later(
+            self.last_byte_delay_s, lambda: stirred.done() or stirred.set_result(None)
+        )
         self.loop.add_reader(self.sock, lambda: stirred.done() or stirred.set_result(None))
         try:
             await stirred
@@ -144,24 +146,29 @@
             event = self.http.next_event()
             if event is h11.NEED_DATA:
                 data = await self.loop.sock_recv(self.sock, READ_SIZE)
-                if not data and not self.head:
+                if not data and not self.response_start:
                     raise ConnectionResetError("the connection ended before its answer")
-                if len(self.head) < MOST_FIRST_LINE:
+                if len(self.response_start) < MOST_FIRST_LINE:
                     self.starts(data)
                 self.http.receive_data(data)
             elif isinstance(event, (h11.Response, h11.Data, h11.EndOfMessage)):
                 return event
             elif isinstance(event, h11.InformationalResponse) and self.interim < MOST_INTERIM:
-                self.interim, self.head = self.interim + 1, b""
+                self.interim, self.response_start = self.interim + 1, b""
                 self.starts(self.http.trailing_data[0])
             else:
                 raise h11.RemoteProtocolError(f"no answer, but {event!r}")
 
     def starts(self, data: bytes) -> None:
         """Keep how the answer begins; h11 may reject it, and its first line holds all the same."""
-        first, self.head = not self.head, self.head + data[:MOST_FIRST_LINE]
-        if first and self.head and self.begun is not None and not INTERIM.match(self.head):
-            self.begun()
+        first, self.response_start = not self.response_start, self.response_start + data[:MOST_FIRST_LINE]
+        if (
+            first
+            and self.response_start
+            and self.on_response_start is not None
+            and not INTERIM.match(self.response_start)
+        ):
+            self.on_response_start()
 
     async def response(self) -> h11.Response:
         """The head of the answer."""
@@ -178,14 +185,14 @@
                 raise h11.RemoteProtocolError(f"an answer of more than {most} bytes")
         return bytes(body)
 
-    def next_cycle(self) -> bool:
+    def prepare_next_request(self) -> bool:
         """Make ready for another request; False if either side wants the connection closed."""
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         self.http.start_next_cycle()
         return not self.http.trailing_data[0]
 
-    def quiet(self) -> bool:
+    def has_no_input(self) -> bool:
         """True if nothing has come while the connection was idle: neither an end nor stray bytes."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
--- a/rushhitch/discovery.py
+++ b/rushhitch/discovery.py
@@ -396,7 +396,7 @@
             if self.due[number] is notice:  # another that came meanwhile is not heard yet
                 del self.due[number]
                 self.heard(number)
-        if not connection.next_cycle():
+        if not connection.prepare_next_request():
             self.drop_connection()
 
     async def write(self, body: bytes) -> Connection:
@@ -404,7 +404,9 @@
         try:
             async with asyncio.timeout(self.write_s):
                 idled = asyncio.get_running_loop().time() - self.used_at
-                if self.connection is not None and (idled > NOTICE_IDLE_S or not self.connection.quiet()):
+                if self.connection is not None and (
+                    idled > NOTICE_IDLE_S or not self.connection.has_no_input()
+                ):
                     self.drop_connection()
                 if self.connection is None:
                     self.connection = await Connection.open(self.address)
--- a/rushhitch/endpoints.py
+++ b/rushhitch/endpoints.py
@@ -178,7 +178,7 @@
         while self.calls and quiet < QUIET_TURNS and self.loop.time() < until:
             await asyncio.sleep(0)
             written = (call.connection for call in self.calls.values() if call.written)
-            quiet = 0 if any(held is not None and not held.quiet() for held in written) else quiet + 1
+            quiet = 0 if any(held is not None and not held.has_no_input() for held in written) else quiet + 1
         tasks = {call.task for call in self.calls.values() if call.task is not None}
         for task in tasks:
             task.cancel()
@@ -202,7 +202,7 @@
         while idle := self.idle.get(endpoint):
             connection, since = idle[-1]
             idled = self.loop.time() - since
-            if idled < self.keep_s and connection.quiet():
+            if idled < self.keep_s and connection.has_no_input():
                 self.unlist(endpoint, idle[-1])
                 return connection, idled
             self.drop(endpoint, idle[-1])
@@ -349,7 +349,7 @@
                     if self.stopped(connection, call, attempts):
                         broken = Outcome.MOOT
                         break
-                    connection.begun = lambda: self.hurry(limit)
+                    connection.on_response_start = lambda: self.hurry(limit)
                     try:
                         await self.request(connection, call, attempts)
                     except OSError:
@@ -396,7 +396,7 @@
         else:
             call.idled_ms = 0.0
             connection = await self.connect(call.endpoint)
-        connection.written, connection.head = False, b""
+        connection.written, connection.response_start = False, b""
         return connection
 
     def hurry(self, limit: asyncio.Timeout) -> None:
@@ -407,9 +407,9 @@
 
     def leave(self, connection: Connection, call: Call, broken: Outcome) -> None:
         """Keep the connection if its call has come to a clean end, or was never written."""
-        connection.begun = None
+        connection.on_response_start = None
         unused = broken is Outcome.MOOT and not call.recalled  # what was called back may be half written
-        call.kept = connection.next_cycle() if connection.written else unused
+        call.kept = connection.prepare_next_request() if connection.written else unused
         if call.kept:
             self.put(call.endpoint, connection)
         else:
@@ -422,11 +422,11 @@
             return MessageEnd(Outcome.MOOT)
         if connection is None or not connection.written:
             return MessageEnd(broken if broken is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
-        if len(call.ids) == 1 and call.codec.delivered(connection.head):
-            call.later = call.codec.later(int(connection.head[9:12]))
+        if len(call.ids) == 1 and call.codec.delivered(connection.response_start):
+            call.later = call.codec.later(int(connection.response_start[9:12]))
             return MessageEnd(Outcome.OK, delivered=True)
-        final = call.codec.final(connection.head)
-        if broken is Outcome.TIMEOUT and connection.head:
+        final = call.codec.final(connection.response_start)
+        if broken is Outcome.TIMEOUT and connection.response_start:
             return MessageEnd(Outcome.ERROR, final=final)  # its answer began and did not end
         return MessageEnd(broken, final=final)
 
@@ -462,7 +462,9 @@
         have not run and go on in another call."""
         if call.recalled or self.barred(call.endpoint, connection):
             raise NotSent("its endpoint takes nothing now")
-        if time.monotonic() + connection.look_s > start_by(attempts):  # some loops' clocks stand still
+        if time.monotonic() + connection.last_byte_delay_s > start_by(
+            attempts
+        ):  # some loops' clocks stand still
             raise NotSent("its time to begin is over")
         for attempt in attempts:
             if (attempt.message, attempt.number) not in call.open or not self.may_send(attempt):
@@ -482,7 +484,7 @@
     def too_late(self, connection: Connection, attempts: list[Attempt]) -> bool:
         """Guards against a repeat that was decided in time and counts twice all the same: its connection took
         longer to come up than was left. `commit` looks again before the last byte."""
-        return self.loop.time() + LATE_LOOKS * connection.look_s >= start_by(attempts)
+        return self.loop.time() + LATE_LOOKS * connection.last_byte_delay_s >= start_by(attempts)
 
     async def request(self, connection: Connection, call: Call, attempts: list[Attempt]) -> None:
         left = min(attempt.stop_at for attempt in attempts) - self.loop.time()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -384,7 +384,7 @@
 
 
 def test_at_the_exit_an_answer_that_never_ends_is_not_waited_for(tmp_path, monkeypatch):
-    monkeypatch.setattr(Connection, "quiet", lambda self: False)  # more has come at each look
+    monkeypatch.setattr(Connection, "has_no_input", lambda self: False)  # more has come at each look
     run(checked(tmp_path, WHOLE % (200, 1), 1, []))
 
 
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -131,7 +131,7 @@
             caller.send(message)
             assert await caller.result() == (Outcome.OK, True, 0.0)
             for idle, _ in caller.endpoints.idle["e1"]:
-                idle.look_s = LONG_S
+                idle.last_byte_delay_s = LONG_S
         assert dropped == ["e1"] and caller.endpoints.connections == 1
 
 
