--- a/rushhitch/connection.py
+++ b/rushhitch/connection.py
@@ -12,7 +12,7 @@
 READ_SIZE = 65_536
 MOST_FIRST_LINE = 1_024
 MOST_INTERIM = 20  # 1xx answers before the answer proper
-LOOK_S, LOOK_TOP_S = (
+MIN_LAST_BYTE_DELAY_S, MAX_LAST_BYTE_DELAY_S = (
     0.002,
     0.05,
 )  # before a request's last byte, the connection is watched for at least, at most
@@ -45,7 +45,9 @@
 
     def __init__(self, sock: socket.socket, address: tuple[str, int], came_up_s: float = 0.0) -> None:
         self.sock, self.address, self.http = sock, address, h11.Connection(h11.CLIENT)
-        self.last_byte_delay_s = min(max(LOOK_CONNECTS * came_up_s, LOOK_S), LOOK_TOP_S)
+        self.last_byte_delay_s = min(
+            max(LOOK_CONNECTS * came_up_s, MIN_LAST_BYTE_DELAY_S), MAX_LAST_BYTE_DELAY_S
+        )
         self.loop = asyncio.get_running_loop()
         self.written, self.response_start, self.interim = False, b"", 0
         self.on_response_start: Callable[[], None] | None = None  # called as an answer proper begins
--- a/tests/leavers.py
+++ b/tests/leavers.py
@@ -238,7 +238,7 @@
 
 LONG_LOOK = """from rushhitch import connection
 
-connection.LOOK_S = connection.LOOK_TOP_S = {seconds}  # so long the last byte of each call is held back
+connection.MIN_LAST_BYTE_DELAY_S = connection.MAX_LAST_BYTE_DELAY_S = {seconds}  # so long the last byte of each call is held back
 """
 
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -66,7 +66,7 @@
 
 from rushhitch import connection
 
-connection.LOOK_S = connection.LOOK_TOP_S = 5.0
+connection.MIN_LAST_BYTE_DELAY_S = connection.MAX_LAST_BYTE_DELAY_S = 5.0
 transport = selector_events._SelectorTransport
 plain = transport._call_connection_lost
 
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -99,8 +99,8 @@
 
 def test_a_reset_while_the_request_comes_in_proves_that_nothing_ran(monkeypatch):
     # Guards against losing an unsafe message to a network that resets: its request was never whole.
-    monkeypatch.setattr(connection, "LOOK_S", LONG_S)
-    monkeypatch.setattr(connection, "LOOK_TOP_S", LONG_S)
+    monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", LONG_S)
+    monkeypatch.setattr(connection, "MAX_LAST_BYTE_DELAY_S", LONG_S)
 
     async def reset(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -158,8 +158,8 @@
 def test_final_answers_and_resends_are_the_same_by_every_protocol(tmp_path, monkeypatch, name, way, speaks):
     cls, script, expected, sends = SCRIPTS[name]
     if "early" in script:
-        monkeypatch.setattr(connection, "LOOK_S", 0.5)
-        monkeypatch.setattr(connection, "LOOK_TOP_S", 0.5)
+        monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", 0.5)
+        monkeypatch.setattr(connection, "MAX_LAST_BYTE_DELAY_S", 0.5)
 
     async def work():
         end, seen = await play(tmp_path / "n", way, speaks, cls, script, monkeypatch)
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -175,7 +175,7 @@
 @pytest.mark.parametrize("ended", [0, 1])
 def test_a_message_that_ends_while_its_last_byte_is_held_back_is_not_in_the_call(monkeypatch, ended):
     # Its bytes are in the body that is half written: the call is dropped, and the other message has not run.
-    monkeypatch.setattr(connection, "LOOK_S", 0.1)
+    monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", 0.1)
 
     async def work():
         caller = await Caller().start(batch=4)
@@ -199,8 +199,8 @@
 def test_no_attempt_is_recorded_while_its_last_byte_is_held_back(tmp_path, monkeypatch):
     # Guards against a kill in that time: the next process would take a message that never left for one that
     # may have run, and give an unsafe one up with no call.
-    monkeypatch.setattr(connection, "LOOK_S", 0.5)
-    monkeypatch.setattr(connection, "LOOK_TOP_S", 0.5)
+    monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", 0.5)
+    monkeypatch.setattr(connection, "MAX_LAST_BYTE_DELAY_S", 0.5)
 
     @with_bench(tmp_path)
     async def _(bench):
@@ -216,7 +216,7 @@
 
 
 def test_a_message_that_is_cancelled_while_its_last_byte_is_held_back_is_not_in_the_call(monkeypatch):
-    monkeypatch.setattr(connection, "LOOK_S", 0.1)
+    monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", 0.1)
 
     async def work():
         caller = await Caller().start(batch=4)
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -417,7 +417,7 @@
         await looked(self)
         await asyncio.sleep(start_by - left_s - self.loop.time())
 
-    monkeypatch.setattr(connection, "LOOK_S", look_s)
+    monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", look_s)
     monkeypatch.setattr(Connection, "confirm_alive", until_late)
 
     @with_caller(batch=3)
