--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,7 +8,7 @@
 from doubles import Peer, run
 
 from rushhitch import discovery
-from rushhitch.discovery import NoticeSender, Platform, Watch
+from rushhitch.discovery import NoticeSender, PlatformClient, Watch
 
 
 def with_watch(silence_s=30.0):
@@ -248,7 +248,7 @@
         told, heard = asyncio.Queue(), asyncio.Queue()
         watch = Watch(old.address, 41, told.put_nowait, random.Random(1))
         notices = NoticeSender(old.address, heard.put_nowait)
-        platform = Platform(watch, notices)
+        platform = PlatformClient(watch, notices)
         platform.start()
         request = await old.next()
         request.start_watch()
