--- a/rushhitch/fronts/listener.py
+++ b/rushhitch/fronts/listener.py
@@ -36,7 +36,7 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-class Clients:
+class ConnectionManager:
     """The listeners of all fronts and their connections, within bounds that they share."""
 
     def __init__(self, taker: Taker, most: int, most_begun: int = 100 * MOST_REQUEST) -> None:
@@ -52,13 +52,15 @@
         self.sweeping: asyncio.TimerHandle | None = None
         self.resting: dict[socket.socket, asyncio.TimerHandle] = {}  # listeners that cannot accept just now
         self.listeners: list[socket.socket] = []
-        self.fronts: dict[str, Callable[[Clients], ClientConnection]] = {}  # by name, as their listeners
+        self.fronts: dict[
+            str, Callable[[ConnectionManager], ClientConnection]
+        ] = {}  # by name, as their listeners
 
     def listen(
         self,
         address: tuple[str, int],
         name: str,
-        front: Callable[[Clients], ClientConnection],
+        front: Callable[[ConnectionManager], ClientConnection],
         passed: socket.socket | None = None,
     ) -> tuple[str, int]:
         """Accept connections of that front there from now on; gives the address, where port 0 was told. With
@@ -76,7 +78,7 @@
         self.listeners.append(listener)
         return listener.getsockname()
 
-    def accept(self, listener: socket.socket, front: Callable[[Clients], ClientConnection]) -> bool:
+    def accept(self, listener: socket.socket, front: Callable[[ConnectionManager], ClientConnection]) -> bool:
         """Whether more may be waiting."""
         # Who gives way holds its descriptor up to the next step, whichever listener it makes room for.
         for _ in range(ACCEPTS // len(self.listeners)):
@@ -111,7 +113,7 @@
         self.accepted.add(task)
         task.add_done_callback(self.accepted.discard)
 
-    def rest(self, listener: socket.socket, front: Callable[[Clients], ClientConnection]) -> None:
+    def rest(self, listener: socket.socket, front: Callable[[ConnectionManager], ClientConnection]) -> None:
         """Guards against a loop that does nothing but fail to accept: the connection stays in the queue. One
         client gives way meanwhile, since others may want its descriptor as well."""
 
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -39,7 +39,7 @@
 from rushhitch.core.resumption import resume
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.discovery import NoticeSender, PlatformClient, Watch
-from rushhitch.fronts.listener import Clients
+from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.journal import Journal
 from rushhitch.journal.boot import boot_id
@@ -145,7 +145,7 @@
         self.handshake = make_handshake(node, configuration.own)
         node.sinks = make_sinks(configuration)
         self.planners = make_planners(node, configuration) if forward else None
-        self.clients = Clients(node, most_clients, int(BEGUN_SHARE * configuration.memory_bytes))
+        self.clients = ConnectionManager(node, most_clients, int(BEGUN_SHARE * configuration.memory_bytes))
         known = configuration.known
         if inheritance.told is not None:
             known = {name: inheritance.told[name] for name in ("version", "servers")} | {"full": True}
@@ -441,7 +441,10 @@
 
 
 def listen_for_events(
-    clients: Clients, configuration: Configuration, sinks: Sinks | None, passed: socket.socket | None = None
+    clients: ConnectionManager,
+    configuration: Configuration,
+    sinks: Sinks | None,
+    passed: socket.socket | None = None,
 ) -> None:
     """The CloudEvents front, beside RESP2 and within the same bounds."""
     from rushhitch.cloudevents.mapping import Acks, Rules  # with its library: only where it is on
--- a/rushhitch/succession/handover.py
+++ b/rushhitch/succession/handover.py
@@ -13,7 +13,7 @@
 from rushhitch.core.operators import Operators
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.endpoints import Result
-from rushhitch.fronts.listener import Clients
+from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.succession import channel as channels
 from rushhitch.succession.channel import Channel, Relay
 from rushhitch.succession.states import VERSION, Do, Incumbent, Old
@@ -33,7 +33,7 @@
         folder: Path,
         transfer: StateTransfer,
         operators: Operators,
-        clients: Clients,
+        clients: ConnectionManager,
         version: Callable[[], int],
         operate: Callable[[bytes], bytes],
     ) -> None:
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -15,7 +15,7 @@
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.fronts.cloudevents import front
-from rushhitch.fronts.listener import Clients
+from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.journal import Journal
 from rushhitch.journal.inspect import table
@@ -129,7 +129,7 @@
         self.node = node
         node.listing.codecs = {7: CloudEvents("binary", "/rushhitch", {}, acknowledged=True)}
         node.listing.take({"version": 42, "full": False, "servers": [self.row]})
-        self.clients = Clients(node, 16)
+        self.clients = ConnectionManager(node, 16)
         self.http = self.clients.listen(("127.0.0.1", 0), "cloudevents", front(WITH_ACKS))
         self.resp2 = self.clients.listen(("127.0.0.1", 0), "resp2", Resp2)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,7 +13,7 @@
 
 from rushhitch.fronts import admission, listener
 from rushhitch.fronts.admission import Standing, order
-from rushhitch.fronts.listener import Clients
+from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.taker import TAKEN
 
@@ -83,7 +83,7 @@
 def test_a_choice_among_many_serves_for_the_newcomers_of_a_moment(monkeypatch):
     # Guards against going over all connections for each newcomer: 0.3 ms each with 340 of them.
     async def work():
-        server, choices = Clients(Taker(), 100), []
+        server, choices = ConnectionManager(Taker(), 100), []
 
         def counted(standings, now):
             choices.append(now)
@@ -107,7 +107,7 @@
     most = min(1000, int(Path("/proc/sys/net/core/somaxconn").read_text()) - 1)
 
     async def work():
-        server = Clients(Taker(), 64)
+        server = ConnectionManager(Taker(), 64)
         server.listen(("127.0.0.1", 0), "resp2", Resp2)
         server.pause_listening()
         crowd = [socket.create_connection(server.address, timeout=20) for _ in range(most)]
@@ -136,7 +136,7 @@
     async def work():
         before = descriptors()
         taker = Taker()
-        server = Clients(taker, 64)
+        server = ConnectionManager(taker, 64)
         server.listen(("127.0.0.1", 0), "resp2", Resp2)
         over = asyncio.Event()
         told_off, crowd = 0, []
--- a/tests/test_close_over_unread.py
+++ b/tests/test_close_over_unread.py
@@ -6,7 +6,7 @@
 
 from doubles import run
 
-from rushhitch.fronts.listener import Clients
+from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.taker import TAKEN
 
@@ -57,7 +57,7 @@
     # The client reads nothing: the system takes `+OK`, and no byte of it leaves the machine.
     async def work():
         taker = Taker()
-        server = Clients(taker, 16)
+        server = ConnectionManager(taker, 16)
         server.listen(("127.0.0.1", 0), "resp2", Resp2)
         sock = await unread_client(server.address, 4000)
         await asyncio.sleep(1.0)
@@ -73,7 +73,7 @@
     # An error on a pipelined request ends the connection: the reset goes before what the window holds back.
     async def work():
         taker = Taker()
-        server = Clients(taker, 16)
+        server = ConnectionManager(taker, 16)
         server.listen(("127.0.0.1", 0), "resp2", Resp2)
         sock = await unread_client(server.address, 4000)
         loop = asyncio.get_running_loop()
--- a/tests/test_cloudevents_sinks.py
+++ b/tests/test_cloudevents_sinks.py
@@ -15,7 +15,7 @@
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
 from rushhitch.fronts.cloudevents import front
-from rushhitch.fronts.listener import Clients
+from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.journal import Journal
 from rushhitch.partners.cloudevents import CloudEvents
 from rushhitch.taker import FAILED
@@ -57,7 +57,7 @@
         node.sinks = SINKS
         node.listing.codecs = {9: CloudEvents("structured", "/rushhitch", {})}
         node.listing.take({"version": 42, "full": False, "servers": [self.row, self.sink_row]})
-        self.clients = Clients(node, 16)
+        self.clients = ConnectionManager(node, 16)
         self.http = self.clients.listen(("127.0.0.1", 0), "cloudevents", front(WITH_SINKS))
 
     async def restart(self, folder):
--- a/tests/test_fronts_cloudevents.py
+++ b/tests/test_fronts_cloudevents.py
@@ -15,7 +15,7 @@
 from rushhitch.core.resumption import resume
 from rushhitch.fronts import admission, cloudevents
 from rushhitch.fronts.cloudevents import front, wait_of
-from rushhitch.fronts.listener import Clients
+from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.journal import Journal
 from rushhitch.journal.inspect import table
@@ -32,7 +32,7 @@
     async def start(self, folder, most=16, most_begun=4_000_000):
         self.core = await Bench().start(folder)
         self.partner, self.node = self.core.partner, self.core.node
-        self.clients = Clients(self.node, most, most_begun)
+        self.clients = ConnectionManager(self.node, most, most_begun)
         self.http = self.clients.listen(("127.0.0.1", 0), "cloudevents", front(RULES))
         self.resp2 = self.clients.listen(("127.0.0.1", 0), "resp2", Resp2)
         return self
@@ -367,7 +367,7 @@
         front.node = Node(old.settings, type(old.dispatcher)(old.settings, 1), front.core.journal, old.notify)
         front.node.listing.take({"version": 42, "full": True, "servers": [front.core.row]})
         resume(front.node)
-        front.clients = Clients(front.node, 16)
+        front.clients = ConnectionManager(front.node, 16)
         front.http = front.clients.listen(("127.0.0.1", 0), "cloudevents", front_of(RULES))
         client = await front.connect()
         client.binary(more={"Prefer": "wait=30"})
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -11,7 +11,7 @@
 
 from rushhitch.fronts import admission
 from rushhitch.fronts import resp2 as clients
-from rushhitch.fronts.listener import Clients
+from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.fronts.resp2 import Resp2, parse_offer
 from rushhitch.taker import MOST_BODY, TAKEN, BadRequest, Reply
 
@@ -40,7 +40,7 @@
     def decorate(test):
         async def work():
             taker = Taker()
-            server = Clients(taker, most)
+            server = ConnectionManager(taker, most)
             server.listen(("127.0.0.1", 0), "resp2", Resp2)
             await test(server, taker)
 
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -14,7 +14,7 @@
 from rushhitch import connection
 from rushhitch.cloudevents.http import decode
 from rushhitch.fronts.cloudevents import front
-from rushhitch.fronts.listener import Clients
+from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.fronts.resp2 import Resp2
 from rushhitch.partners.cloudevents import CloudEvents
 
@@ -122,7 +122,7 @@
         types = {"pay": "com.example.pay", "note": "com.example.note"}
         node.listing.codecs = {7: CloudEvents(speaks, "/rushhitch", types)}
         node.listing.take({"version": 42, "full": False, "servers": [bench.row]})
-    clients = Clients(node, 16)
+    clients = ConnectionManager(node, 16)
     addresses = [
         clients.listen(("127.0.0.1", 0), "resp2", Resp2),
         clients.listen(("127.0.0.1", 0), "cloudevents", front(RULES)),
@@ -183,7 +183,7 @@
         bench = await Bench().start(tmp_path)
         bench.node.listing.codecs = {7: CloudEvents("binary", "/rushhitch", {})}
         bench.node.listing.take({"version": 42, "full": False, "servers": [bench.row]})
-        clients = Clients(bench.node, 16)
+        clients = ConnectionManager(bench.node, 16)
         address = clients.listen(("127.0.0.1", 0), "resp2", Resp2)
         client = Client(*await asyncio.open_connection(*address))
         assert await client.add(b"m1", "pay", 24_000, b"hello") == b"+OK\r\n"
