--- a/rushhitch/fronts/client_connection.py
+++ b/rushhitch/fronts/client_connection.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Adopted:
+class TransferredConnection:
     """What goes with a client's connection that another process passes on: the part of a request that has
     come, whether it has made one before, when it was last heard (by the clock that both processes have), and
     the messages whose acceptances it may not have heard."""
@@ -390,12 +390,12 @@
             self.refuse("the process ends", Fault.LEAVING)
         self.end(Close.LEAVING)
 
-    def portable(self) -> bytes | None:
+    def transferable_input(self) -> bytes | None:
         """What was read of a request that has not come whole, for another process to read on; None where the
         connection cannot be passed on as it stands."""
         return None
 
-    def resume(self, adopted: Adopted) -> None:
+    def resume(self, adopted: TransferredConnection) -> None:
         """Go on where another process stopped reading."""
         self.asked = adopted.asked
         for handle in adopted.doubtful:
--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -218,7 +218,7 @@
         self.http.receive_data(data)
         self.serve()
 
-    def portable(self) -> bytes | None:
+    def transferable_input(self) -> bytes | None:
         """Between requests only: what h11 has read cannot be taken out of it."""
         if self.intake is not None and not self.intake.over:
             self.intake.finish()  # whoever waits for an end hears now what is known
--- a/rushhitch/fronts/listener.py
+++ b/rushhitch/fronts/listener.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from rushhitch.fronts.admission import order
-from rushhitch.fronts.client_connection import MOST_REQUEST, Adopted, ClientConnection
+from rushhitch.fronts.client_connection import MOST_REQUEST, ClientConnection, TransferredConnection
 from rushhitch.taker import Taker
 
 log = logging.getLogger(__name__)
@@ -19,7 +19,9 @@
 SWEEP_S = 0.25  # between two looks for such connections
 BACKLOG = 4096  # connections that may wait to be accepted (the machine may allow fewer). One that finds no
 # place there is not told so: its client tries again after 1, 2, 4, 8 and 16 s
-ACCEPTS = 16  # connections taken at once, so that a crowd does not hold up those who ask. As many at most are
+MAX_ACCEPTS_PER_STEP = (
+    16  # connections taken at once, so that a crowd does not hold up those who ask. As many at most are
+)
 # on their way to be turned away: with those that close to make room, they take 2 * ACCEPTS descriptors more
 ACCEPT_REST_S = 0.1  # after a failed accept, as where no descriptor is left: the next one would fail at once
 ACCEPT_WAITING_S = 1.0  # those in the queue at the end are taken for so long: a crowd that comes again as
@@ -81,8 +83,8 @@
     def accept(self, listener: socket.socket, front: Callable[[ConnectionManager], ClientConnection]) -> bool:
         """Whether more may be waiting."""
         # Who gives way holds its descriptor up to the next step, whichever listener it makes room for.
-        for _ in range(ACCEPTS // len(self.listeners)):
-            if sum(not client.placed for client in self.coming) >= ACCEPTS:
+        for _ in range(MAX_ACCEPTS_PER_STEP // len(self.listeners)):
+            if sum(not client.placed for client in self.coming) >= MAX_ACCEPTS_PER_STEP:
                 return True
             try:
                 sock, _ = listener.accept()
@@ -126,7 +128,7 @@
             self.resting[listener] = self.loop.call_later(ACCEPT_REST_S, go_on)
             self.make_way()
 
-    def adopt(self, sock: socket.socket, name: str, adopted: Adopted) -> None:
+    def adopt(self, sock: socket.socket, name: str, adopted: TransferredConnection) -> None:
         """A client's connection that another process has passed on."""
         front = self.fronts.get(name)
         if front is None:  # it is not served here any more
@@ -191,7 +193,7 @@
         for listener, front in zip(self.listeners, self.fronts.values(), strict=True):
             self.loop.add_reader(listener, self.accept, listener, front)
 
-    async def accept_waiting(self) -> None:
+    async def accept_backlog(self) -> None:
         """Take all who have come, some at a time: each takes a descriptor until another has given way. To
         close a listener resets those who wait in its queue, unless another process has it too."""
         self.pause_listening()
@@ -205,16 +207,16 @@
         for listener in self.listeners:
             listener.close()
 
-    def finish(self) -> None:
+    def drain(self) -> None:
         for client in list(self.clients):
             client.finish()
 
-    async def read_out(self) -> None:
+    async def read_pending_input(self) -> None:
         """Read what has come so far, as the process ends. The core must refuse offers by now."""
         for _ in range(LAST_READS):
             await asyncio.sleep(0)
 
-    def leave(self) -> None:
+    def close_all(self) -> None:
         """The process ends: each connection is closed in this step, with no request left unanswered that was
         read."""
         if self.sweeping is not None:
--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -144,7 +144,7 @@
         if self.resting is None:
             self.serve()
 
-    def portable(self) -> bytes | None:
+    def transferable_input(self) -> bytes | None:
         if self.slots or self.resting or self.deaf or self.full or self.finishing or self.input_closed:
             return None
         return bytes(self.tail)
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -64,7 +64,7 @@
 LEAVE_S = 3.3  # after SIGTERM: what is not over by then stays in the journal
 OWN_FILES = 48  # descriptors kept from clients and endpoints: some 12 for the process itself (log, loop,
 # lock, listeners, the newest segment), 2 for the watch and notices, 2 for files that are replaced or read
-# again, and 2 * `ACCEPTS` for clients that come to be turned away, or are closed to make room
+# again, and 2 * `MAX_ACCEPTS_PER_STEP` for clients that come to be turned away, or are closed to make room
 CALLER_FILES = MOST_CALLERS + 4  # likewise for operators and a successor, where the control address is on
 CLIENT_SHARE = 1 / 3  # of the descriptors: clients hold so many at most for requests
 LEAST_SHARE = 4  # descriptors for clients and as many for endpoints, however few there are
@@ -292,10 +292,10 @@
         node.leaving(leave_at)
         finish_at = self.loop.time() + FINISH_S
         await asyncio.sleep(ACCEPT_S)
-        await clients.accept_waiting()
+        await clients.accept_backlog()
         clients.stop_listening()
         await asyncio.sleep(finish_at - self.loop.time())
-        clients.finish()
+        clients.drain()
         try:
             async with asyncio.timeout_at(leave_at):
                 await node.idle.wait()
@@ -304,8 +304,8 @@
             pass
         await self.transfer.freeze()  # what is not written whole has never run, and the journal says so
         await self.transfer.end_calls()
-        await clients.read_out()
-        clients.leave()
+        await clients.read_pending_input()
+        clients.close_all()
         node.commit()
         held = len(self.journal.live)
         log.info(
@@ -325,7 +325,7 @@
 
     def close(self) -> None:
         self.node.lifecycle.enter(Phase.CLOSED)
-        self.clients.leave()
+        self.clients.close_all()
         if self.reloading is not None:
             self.reloading.cancel()
         if self.telling is not None:
--- a/rushhitch/succession/handover.py
+++ b/rushhitch/succession/handover.py
@@ -176,7 +176,7 @@
         """Connections go over as soon as they stand between two answers."""
         while self.clients.clients and self.channel is not None:
             for client in list(self.clients.clients):
-                tail = client.portable()
+                tail = client.transferable_input()
                 transport = client.transport
                 if tail is None or transport is None or transport.is_closing():
                     continue
@@ -193,7 +193,7 @@
             if not self.clients.clients or self.loop.time() >= until:
                 break
             await asyncio.sleep(0.005)
-        self.clients.finish()
+        self.clients.drain()
 
     def report(self, result: Result) -> None:
         """How a call ended that was out at the handover."""
--- a/rushhitch/succession/takeover.py
+++ b/rushhitch/succession/takeover.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from rushhitch.config.platform import BadConfiguration, Configuration
-from rushhitch.fronts.client_connection import Adopted
+from rushhitch.fronts.client_connection import TransferredConnection
 from rushhitch.journal import Held, Journal, JournalError, Sync
 from rushhitch.succession import channel as channels
 from rushhitch.succession.channel import GONE, Channel, Relay
@@ -45,7 +45,9 @@
         self.news: asyncio.Queue[tuple[dict[str, Any], list[int]] | None] = asyncio.Queue()
         self.following = False  # the owner hears of clients and calls
         self.relay = Relay(lambda line: GONE)
-        self.adopt: Callable[[socket.socket, str, Adopted], None] = lambda sock, *_: sock.close()
+        self.adopt: Callable[[socket.socket, str, TransferredConnection], None] = lambda sock, *_: (
+            sock.close()
+        )
         self.abandon: Callable[[int, str], None] = lambda message, why: None
         self.ended: Callable[[dict[str, Any]], None] = lambda told: None
         self.dead: Callable[[], None] = lambda: None
@@ -147,7 +149,7 @@
         """What comes after the handover."""
         word = told.get("t")
         if word == "client" and fds:
-            adopted = Adopted(
+            adopted = TransferredConnection(
                 str(told["tail"]).encode("latin-1"),
                 bool(told["asked"]),
                 float(told["heard_at"]),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -187,7 +187,7 @@
         assert number >= least and told_off == number
         server.stop_listening()
         while server.clients:
-            server.finish()
+            server.drain()
             await asyncio.sleep(0.05)
         await asyncio.sleep(0.1)
         assert descriptors() <= before + 4, "descriptors were not given back"
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -275,12 +275,12 @@
                 await asyncio.sleep(0)
 
         looking = asyncio.ensure_future(look())
-        await server.accept_waiting()
+        await server.accept_backlog()
         server.stop_listening()
         waiting[-1].send(b"PING")
         assert await waiting[-1].line() == b"+PONG\r\n", "the last in the queue was reset"
         looking.cancel()
-        assert most <= 32 + 2 * listener.ACCEPTS
+        assert most <= 32 + 2 * listener.MAX_ACCEPTS_PER_STEP
         for client in waiting:
             client.writer.close()
 
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -238,7 +238,7 @@
         client = await connect(server)
         assert await client.ask(b"PING") == b"+PONG\r\n"
         client.send(b"PING")  # in the kernel by now, and not read while this does not wait
-        server.finish()
+        server.drain()
         assert await client.line() == b"+PONG\r\n" and await client.line() == b""
 
 
@@ -268,7 +268,7 @@
         while not any(client.framing.size for client in server.clients):
             await asyncio.sleep(0)
         server.stop_listening()
-        server.finish()
+        server.drain()
         assert await idle.line() == b""
         answer(TAKEN)
         assert await asking.line() == b"+OK\r\n" and await asking.line() == b""
@@ -389,7 +389,7 @@
         waiting = [await connect(server) for _ in range(40)]
         for client in waiting:
             client.send(b"PING")
-        await server.accept_waiting()
+        await server.accept_backlog()
         server.stop_listening()
         for client in waiting:
             assert await client.line() == b"+PONG\r\n"
