--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -185,7 +185,7 @@
         self.done()
 
 
-class CloudEvents(ClientConnection):
+class CloudEventsConnection(ClientConnection):
     """One client connection. Requests are served one after another, in the order in which they came."""
 
     name = "cloudevents"
@@ -395,6 +395,6 @@
             self.transport.write(data)
 
 
-def front(rules: Rules) -> Callable[[ConnectionOwner], CloudEvents]:
+def front(rules: Rules) -> Callable[[ConnectionOwner], CloudEventsConnection]:
     """Makes the connections of a listener."""
-    return lambda server: CloudEvents(server, rules)
+    return lambda server: CloudEventsConnection(server, rules)
--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -116,7 +116,7 @@
             self.expected = self.LENGTH if self.words else self.COUNT
 
 
-class Resp2(ClientConnection):
+class Resp2Connection(ClientConnection):
     """One client connection; answers go out in the order of the requests."""
 
     name = "resp2"
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -40,7 +40,7 @@
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.discovery import NoticeSender, PlatformClient, Watch
 from rushhitch.fronts.listener import ConnectionManager
-from rushhitch.fronts.resp2 import Resp2
+from rushhitch.fronts.resp2 import Resp2Connection
 from rushhitch.journal import Journal
 from rushhitch.journal.boot import boot_id
 from rushhitch.journal.side import Side, unsealed
@@ -202,7 +202,12 @@
         self.reloading = self.loop.create_task(reload(changed, configuration, node, self.kept, self.platform))
         listeners = self.inheritance.listeners
         try:
-            self.clients.listen(configuration.listen, Resp2.name, Resp2, listeners.pop(Resp2.name, None))
+            self.clients.listen(
+                configuration.listen,
+                Resp2Connection.name,
+                Resp2Connection,
+                listeners.pop(Resp2Connection.name, None),
+            )
         except OSError as error:
             raise BadConfiguration(f"ROUTER_LISTEN: {error}") from None
         if configuration.own.events is not None and configuration.own.events.listen is not None:
@@ -448,7 +453,7 @@
 ) -> None:
     """The CloudEvents front, beside RESP2 and within the same bounds."""
     from rushhitch.cloudevents.mapping import Acks, Rules  # with its library: only where it is on
-    from rushhitch.fronts.cloudevents import CloudEvents, front
+    from rushhitch.fronts.cloudevents import CloudEventsConnection, front
     from rushhitch.taker import Verdict
 
     events = configuration.own.events
@@ -461,7 +466,7 @@
     more = (events.usual_ms, acks, sinks)
     rules = Rules(events.types, most_ms, events.destination, events.destinations, *more)
     try:
-        address = clients.listen(events.listen, CloudEvents.name, front(rules), passed)
+        address = clients.listen(events.listen, CloudEventsConnection.name, front(rules), passed)
     except OSError as error:
         raise BadConfiguration(f"[cloudevents] listen: {error}") from None
     log.info("CloudEvents are taken on %s:%d", *address)
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -16,7 +16,7 @@
 from rushhitch.core.resumption import resume
 from rushhitch.fronts.cloudevents import front
 from rushhitch.fronts.listener import ConnectionManager
-from rushhitch.fronts.resp2 import Resp2
+from rushhitch.fronts.resp2 import Resp2Connection
 from rushhitch.journal import Journal
 from rushhitch.journal.inspect import table
 from rushhitch.partners.cloudevents import CloudEvents
@@ -131,7 +131,7 @@
         node.listing.take({"version": 42, "full": False, "servers": [self.row]})
         self.clients = ConnectionManager(node, 16)
         self.http = self.clients.listen(("127.0.0.1", 0), "cloudevents", front(WITH_ACKS))
-        self.resp2 = self.clients.listen(("127.0.0.1", 0), "resp2", Resp2)
+        self.resp2 = self.clients.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
 
     async def restart(self, folder):
         """The process was killed; the next one takes up its journal."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -14,7 +14,7 @@
 from rushhitch.fronts import admission, listener
 from rushhitch.fronts.admission import Standing, order
 from rushhitch.fronts.listener import ConnectionManager
-from rushhitch.fronts.resp2 import Resp2
+from rushhitch.fronts.resp2 import Resp2Connection
 from rushhitch.taker import TAKEN
 
 NOW = 100.0
@@ -91,7 +91,7 @@
 
         monkeypatch.setattr(listener, "order", counted)
         monkeypatch.setattr(listener, "CHOSEN_S", 1000.0)  # the moment does not end on a slow machine
-        server.listen(("127.0.0.1", 0), "resp2", Resp2)
+        server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         served = await connect(server)
         assert await served.ask(b"PING") == b"+PONG\r\n"
         crowd = [await connect(server) for _ in range(400)]
@@ -108,7 +108,7 @@
 
     async def work():
         server = ConnectionManager(Taker(), 64)
-        server.listen(("127.0.0.1", 0), "resp2", Resp2)
+        server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         server.pause_listening()
         crowd = [socket.create_connection(server.address, timeout=20) for _ in range(most)]
         assert len(crowd) == most
@@ -137,7 +137,7 @@
         before = descriptors()
         taker = Taker()
         server = ConnectionManager(taker, 64)
-        server.listen(("127.0.0.1", 0), "resp2", Resp2)
+        server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         over = asyncio.Event()
         told_off, crowd = 0, []
 
--- a/tests/test_close_over_unread.py
+++ b/tests/test_close_over_unread.py
@@ -7,7 +7,7 @@
 from doubles import run
 
 from rushhitch.fronts.listener import ConnectionManager
-from rushhitch.fronts.resp2 import Resp2
+from rushhitch.fronts.resp2 import Resp2Connection
 from rushhitch.taker import TAKEN
 
 PING = b"*1\r\n$4\r\nPING\r\n"
@@ -58,7 +58,7 @@
     async def work():
         taker = Taker()
         server = ConnectionManager(taker, 16)
-        server.listen(("127.0.0.1", 0), "resp2", Resp2)
+        server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         sock = await unread_client(server.address, 4000)
         await asyncio.sleep(1.0)
         await asyncio.get_running_loop().sock_sendall(sock, ADD)
@@ -74,7 +74,7 @@
     async def work():
         taker = Taker()
         server = ConnectionManager(taker, 16)
-        server.listen(("127.0.0.1", 0), "resp2", Resp2)
+        server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         sock = await unread_client(server.address, 4000)
         loop = asyncio.get_running_loop()
         await asyncio.sleep(1.0)
--- a/tests/test_fronts_cloudevents.py
+++ b/tests/test_fronts_cloudevents.py
@@ -16,7 +16,7 @@
 from rushhitch.fronts import admission, cloudevents
 from rushhitch.fronts.cloudevents import front, wait_of
 from rushhitch.fronts.listener import ConnectionManager
-from rushhitch.fronts.resp2 import Resp2
+from rushhitch.fronts.resp2 import Resp2Connection
 from rushhitch.journal import Journal
 from rushhitch.journal.inspect import table
 from rushhitch.taker import DELIVERED, FAILED
@@ -34,7 +34,7 @@
         self.partner, self.node = self.core.partner, self.core.node
         self.clients = ConnectionManager(self.node, most, most_begun)
         self.http = self.clients.listen(("127.0.0.1", 0), "cloudevents", front(RULES))
-        self.resp2 = self.clients.listen(("127.0.0.1", 0), "resp2", Resp2)
+        self.resp2 = self.clients.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         return self
 
     async def connect(self):
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -12,7 +12,7 @@
 from rushhitch.fronts import admission
 from rushhitch.fronts import resp2 as clients
 from rushhitch.fronts.listener import ConnectionManager
-from rushhitch.fronts.resp2 import Resp2, parse_offer
+from rushhitch.fronts.resp2 import Resp2Connection, parse_offer
 from rushhitch.taker import MOST_BODY, TAKEN, BadRequest, Reply
 
 
@@ -41,7 +41,7 @@
         async def work():
             taker = Taker()
             server = ConnectionManager(taker, most)
-            server.listen(("127.0.0.1", 0), "resp2", Resp2)
+            server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
             await test(server, taker)
 
         run(work())
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -15,7 +15,7 @@
 from rushhitch.cloudevents.http import decode
 from rushhitch.fronts.cloudevents import front
 from rushhitch.fronts.listener import ConnectionManager
-from rushhitch.fronts.resp2 import Resp2
+from rushhitch.fronts.resp2 import Resp2Connection
 from rushhitch.partners.cloudevents import CloudEvents
 
 FRONTS = ("resp2", "binary", "structured", "batch")
@@ -124,7 +124,7 @@
         node.listing.take({"version": 42, "full": False, "servers": [bench.row]})
     clients = ConnectionManager(node, 16)
     addresses = [
-        clients.listen(("127.0.0.1", 0), "resp2", Resp2),
+        clients.listen(("127.0.0.1", 0), "resp2", Resp2Connection),
         clients.listen(("127.0.0.1", 0), "cloudevents", front(RULES)),
     ]
     try:
@@ -184,7 +184,7 @@
         bench.node.listing.codecs = {7: CloudEvents("binary", "/rushhitch", {})}
         bench.node.listing.take({"version": 42, "full": False, "servers": [bench.row]})
         clients = ConnectionManager(bench.node, 16)
-        address = clients.listen(("127.0.0.1", 0), "resp2", Resp2)
+        address = clients.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         client = Client(*await asyncio.open_connection(*address))
         assert await client.add(b"m1", "pay", 24_000, b"hello") == b"+OK\r\n"
         for attempt in range(bench.node.settings.max_attempts):
