--- a/tests/test_unheard_elsewhere.py
+++ b/tests/test_unheard_elsewhere.py
@@ -17,7 +17,7 @@
 from rushhitch.core.operators import Operators
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.discovery import NoticeSender, PlatformClient, Watch
-from rushhitch.fronts.listener import Clients
+from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.service import Desk
 from rushhitch.succession.handover import Handover
 from rushhitch.succession.states import VERSION
@@ -189,7 +189,7 @@
 
     def __init__(self, bench, folder):
         self.transfer, operators, self.desk = StateTransfer(bench.node), Operators(bench.node), Desk()
-        clients = Clients(bench.node, 16)
+        clients = ConnectionManager(bench.node, 16)
         operate = self.desk.own(operators)
         self.handover = Handover(folder, self.transfer, operators, clients, lambda: 41, operate)
         self.heard = asyncio.Queue()
