--- a/rushhitch/discovery.py
+++ b/rushhitch/discovery.py
@@ -42,7 +42,7 @@
 BROKEN = (OSError, TimeoutError, h11.ProtocolError, ValueError)
 
 
-class Asks:
+class ReconnectSchedule:
     """When to ask for a watch. Discovery is one service for all dispatchers and works through their calls in
     turn: where all ask at once, as after an outage of its own or a release, each call waits too long and all
     fail again. So those who lose their watch together are spread by chance over a period, and each keeps the
@@ -52,7 +52,7 @@
         self.chance, self.failures, self.late, self.at_once = chance, 0, 0, 0
         self.hurried, self.rested, self.placed = False, False, True
         self.resize(dispatchers)
-        self.spread_s = min(self.share_s, PERIOD_S)
+        self.initial_spread_s = min(self.share_s, PERIOD_S)
 
     def resize(self, dispatchers: int) -> None:
         """So many ask from now on, this one among them."""
@@ -63,24 +63,24 @@
         """Whether they may crowd discovery."""
         return self.share_s > PERIOD_S
 
-    def first(self) -> float:
+    def initial_delay(self) -> float:
         """Seconds until the first of the process; one at a new address comes at once, the list may be old."""
-        spread_s, self.spread_s = self.spread_s, 0.0
-        self.placed = spread_s > 0.0 or self.share_s == 0.0
-        return self.chance.random() * spread_s
+        initial_spread_s, self.initial_spread_s = self.initial_spread_s, 0.0
+        self.placed = initial_spread_s > 0.0 or self.share_s == 0.0
+        return self.chance.random() * initial_spread_s
 
-    def heard(self) -> None:
+    def reset(self) -> None:
         """A watch told something: what failed before is over."""
         self.failures, self.late, self.at_once = 0, 0, 0
         self.hurried = self.rested = False
 
-    def soon(self) -> float:
+    def delay_after_silence(self) -> float:
         """Seconds until the one in place of a watch that fell silent: what it misses may count as told soon.
         Watches fall silent at moments of their own, so those who ask are spread by more than this."""
         self.hurried, self.placed = True, True
         return self.chance.random() * min(self.share_s, SOON_S)
 
-    def ended(self, lasted_s: float) -> float:
+    def delay_after_end(self, lasted_s: float) -> float:
         """Seconds until the one in place of a watch that ended `lasted_s` after it was asked for."""
         placed, self.placed = self.placed, True
         period_s = self.period()
@@ -88,7 +88,7 @@
             return period_s - lasted_s
         return self.chance.random() * period_s
 
-    def rest(self, waited_s: float = -math.inf) -> float:
+    def delay_after_failure(self, waited_s: float = -math.inf) -> float:
         """Seconds from the beginning of one that failed to the next. Where discovery refused it, `waited_s`
         tells how long after the request. After a silence or a long rest, one that is refused comes again at
         once: discovery may be back, and have refused this one call."""
@@ -105,7 +105,7 @@
         self.late = 0
         return self.place(waited_s, self.period())
 
-    def beside(self, waited_s: float = -math.inf) -> float:
+    def delay_to_parallel_call(self, waited_s: float = -math.inf) -> float:
         """Seconds from the beginning of one with no answer to one beside it; an older one was refused after
         `waited_s`."""
         if self.late:
@@ -194,26 +194,26 @@
         dispatchers: int = 1,
     ) -> None:
         self.address, self.version, self.told = address, version, told
-        self.silence_s, self.asks = silence_s, Asks(chance, dispatchers)
+        self.silence_s, self.schedule = silence_s, ReconnectSchedule(chance, dispatchers)
 
     def move(self, address: tuple[str, int]) -> None:
         """The next `run` opens its watch there at once, from the version known."""
         self.address = address
-        self.asks.heard()
+        self.schedule.reset()
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(self.asks.first())
+        await asyncio.sleep(self.schedule.initial_delay())
         while True:
             connection, asked_at = await self.opened()
             try:
                 await self.listen(connection)
             except Silent:
                 log.info("watch ended: it fell silent")
-                rest_s = self.asks.soon()
+                rest_s = self.schedule.delay_after_silence()
             except Exception as error:
                 self.note(error)
-                rest_s = self.asks.ended(loop.time() - asked_at)
+                rest_s = self.schedule.delay_after_end(loop.time() - asked_at)
             finally:
                 connection.close()
             await asyncio.sleep(rest_s)
@@ -236,11 +236,11 @@
                         if not isinstance(answer := call.result(), float):
                             return answer, began
                         if call is newest:
-                            due = began + self.asks.rest(answer)
+                            due = began + self.schedule.delay_after_failure(answer)
                         elif newest in calls:  # with no word yet: what an older one heard counts
-                            due = began + self.asks.beside(answer)
+                            due = began + self.schedule.delay_to_parallel_call(answer)
                     if not done:
-                        due = began + self.asks.beside()
+                        due = began + self.schedule.delay_to_parallel_call()
                 await asyncio.sleep(due - loop.time())
         finally:
             for call in calls:
@@ -286,7 +286,7 @@
                         pass
             except TimeoutError:
                 raise Silent from None
-            self.asks.heard()
+            self.schedule.reset()
             for line in lines:
                 if line:
                     self.read(line)
@@ -310,7 +310,7 @@
     """The platform cannot read what it was sent."""
 
 
-class Notices:
+class NoticeSender:
     """Tells the platform of each end until it has heard: 204 is its word for that."""
 
     def __init__(self, address: tuple[str, int], heard: Callable[[int], None]) -> None:
@@ -396,7 +396,7 @@
             if self.due[number] is notice:  # another that came meanwhile is not heard yet
                 del self.due[number]
                 self.heard(number)
-        if not connection.next_cycle():
+        if not connection.prepare_next_request():
             self.drop_connection()
 
     async def write(self, body: bytes) -> Connection:
@@ -404,7 +404,9 @@
         try:
             async with asyncio.timeout(self.write_s):
                 idled = asyncio.get_running_loop().time() - self.used_at
-                if self.connection is not None and (idled > NOTICE_IDLE_S or not self.connection.quiet()):
+                if self.connection is not None and (
+                    idled > NOTICE_IDLE_S or not self.connection.has_no_input()
+                ):
                     self.drop_connection()
                 if self.connection is None:
                     self.connection = await Connection.open(self.address)
@@ -432,10 +434,10 @@
             self.connection = None
 
 
-class Platform:
+class PlatformClient:
     """The watch and the notices at work, at one address at a time."""
 
-    def __init__(self, watch: Watch, notices: Notices) -> None:
+    def __init__(self, watch: Watch, notices: NoticeSender) -> None:
         self.watch, self.notices = watch, notices
         self.tasks: list[asyncio.Task[None]] = []
 
--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -187,7 +187,7 @@
         self.done()
 
 
-class CloudEvents(ClientConnection):
+class CloudEventsConnection(ClientConnection):
     """One client connection. Requests are served one after another, in the order in which they came."""
 
     name = "cloudevents"
@@ -220,7 +220,7 @@
         self.http.receive_data(data)
         self.serve()
 
-    def portable(self) -> bytes | None:
+    def transferable_input(self) -> bytes | None:
         """Between requests only: what h11 has read cannot be taken out of it."""
         if self.intake is not None and not self.intake.over:
             self.intake.finish()  # whoever waits for an end hears now what is known
@@ -397,6 +397,6 @@
             self.transport.write(data)
 
 
-def front(rules: Rules) -> Callable[[ConnectionOwner], CloudEvents]:
+def front(rules: Rules) -> Callable[[ConnectionOwner], CloudEventsConnection]:
     """Makes the connections of a listener."""
-    return lambda server: CloudEvents(server, rules)
+    return lambda server: CloudEventsConnection(server, rules)
--- a/rushhitch/fronts/listener.py
+++ b/rushhitch/fronts/listener.py
@@ -11,7 +11,7 @@
 
 from rushhitch.acceptor import Acceptor
 from rushhitch.fronts.admission import order
-from rushhitch.fronts.client_connection import MOST_REQUEST, Adopted, ClientConnection
+from rushhitch.fronts.client_connection import MOST_REQUEST, ClientConnection, TransferredConnection
 
 log = logging.getLogger(__name__)
 
@@ -19,7 +19,9 @@
 SWEEP_S = 0.25  # between two looks for such connections
 BACKLOG = 4096  # connections that may wait to be accepted (the machine may allow fewer). One that finds no
 # place there is not told so: its client tries again after 1, 2, 4, 8 and 16 s
-ACCEPTS = 16  # connections taken at once, so that a crowd does not hold up those who ask. As many at most are
+MAX_ACCEPTS_PER_STEP = (
+    16  # connections taken at once, so that a crowd does not hold up those who ask. As many at most are
+)
 # on their way to be turned away: with those that close to make room, they take 2 * ACCEPTS descriptors more
 ACCEPT_REST_S = 0.1  # after a failed accept, as where no descriptor is left: the next one would fail at once
 ACCEPT_WAITING_S = 1.0  # those in the queue at the end are taken for so long: a crowd that comes again as
@@ -36,7 +38,7 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-class Clients:
+class ConnectionManager:
     """The listeners of all fronts and their connections, within bounds that they share."""
 
     def __init__(self, acceptor: Acceptor, most: int, most_begun: int = 100 * MOST_REQUEST) -> None:
@@ -52,13 +54,15 @@
         self.sweeping: asyncio.TimerHandle | None = None
         self.resting: dict[socket.socket, asyncio.TimerHandle] = {}  # listeners that cannot accept just now
         self.listeners: list[socket.socket] = []
-        self.fronts: dict[str, Callable[[Clients], ClientConnection]] = {}  # by name, as their listeners
+        self.fronts: dict[
+            str, Callable[[ConnectionManager], ClientConnection]
+        ] = {}  # by name, as their listeners
 
     def listen(
         self,
         address: tuple[str, int],
         name: str,
-        front: Callable[[Clients], ClientConnection],
+        front: Callable[[ConnectionManager], ClientConnection],
         passed: socket.socket | None = None,
     ) -> tuple[str, int]:
         """Accept connections of that front there from now on; gives the address, where port 0 was told. With
@@ -76,11 +80,11 @@
         self.listeners.append(listener)
         return listener.getsockname()
 
-    def accept(self, listener: socket.socket, front: Callable[[Clients], ClientConnection]) -> bool:
+    def accept(self, listener: socket.socket, front: Callable[[ConnectionManager], ClientConnection]) -> bool:
         """Whether more may be waiting."""
         # Who gives way holds its descriptor up to the next step, whichever listener it makes room for.
-        for _ in range(ACCEPTS // len(self.listeners)):
-            if sum(not client.placed for client in self.coming) >= ACCEPTS:
+        for _ in range(MAX_ACCEPTS_PER_STEP // len(self.listeners)):
+            if sum(not client.placed for client in self.coming) >= MAX_ACCEPTS_PER_STEP:
                 return True
             try:
                 sock, _ = listener.accept()
@@ -111,7 +115,7 @@
         self.accepted.add(task)
         task.add_done_callback(self.accepted.discard)
 
-    def rest(self, listener: socket.socket, front: Callable[[Clients], ClientConnection]) -> None:
+    def rest(self, listener: socket.socket, front: Callable[[ConnectionManager], ClientConnection]) -> None:
         """Guards against a loop that does nothing but fail to accept: the connection stays in the queue. One
         client gives way meanwhile, since others may want its descriptor as well."""
 
@@ -124,7 +128,7 @@
             self.resting[listener] = self.loop.call_later(ACCEPT_REST_S, go_on)
             self.make_way()
 
-    def adopt(self, sock: socket.socket, name: str, adopted: Adopted) -> None:
+    def adopt(self, sock: socket.socket, name: str, adopted: TransferredConnection) -> None:
         """A client's connection that another process has passed on."""
         front = self.fronts.get(name)
         if front is None:  # it is not served here any more
@@ -189,7 +193,7 @@
         for listener, front in zip(self.listeners, self.fronts.values(), strict=True):
             self.loop.add_reader(listener, self.accept, listener, front)
 
-    async def accept_waiting(self) -> None:
+    async def accept_backlog(self) -> None:
         """Take all who have come, some at a time: each takes a descriptor until another has given way. To
         close a listener resets those who wait in its queue, unless another process has it too."""
         self.pause_listening()
@@ -203,16 +207,16 @@
         for listener in self.listeners:
             listener.close()
 
-    def finish(self) -> None:
+    def drain(self) -> None:
         for client in list(self.clients):
             client.finish()
 
-    async def read_out(self) -> None:
+    async def read_pending_input(self) -> None:
         """Read what has come so far, as the process ends. The core must refuse offers by now."""
         for _ in range(LAST_READS):
             await asyncio.sleep(0)
 
-    def leave(self) -> None:
+    def close_all(self) -> None:
         """The process ends: each connection is closed in this step, with no request left unanswered that was
         read."""
         if self.sweeping is not None:
--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -116,7 +116,7 @@
             self.expected = self.LENGTH if self.words else self.COUNT
 
 
-class Resp2(ClientConnection):
+class Resp2Connection(ClientConnection):
     """One client connection; answers go out in the order of the requests."""
 
     name = "resp2"
@@ -144,7 +144,7 @@
         if self.resting is None:
             self.serve()
 
-    def portable(self) -> bytes | None:
+    def transferable_input(self) -> bytes | None:
         if self.slots or self.resting or self.deaf or self.full or self.finishing or self.input_closed:
             return None
         return bytes(self.tail)
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -38,9 +38,9 @@
 from rushhitch.core.operator_commands import OperatorCommands
 from rushhitch.core.resumption import resume
 from rushhitch.core.state_transfer import StateTransfer
-from rushhitch.discovery import Notices, Platform, Watch
-from rushhitch.fronts.listener import Clients
-from rushhitch.fronts.resp2 import Resp2
+from rushhitch.discovery import NoticeSender, PlatformClient, Watch
+from rushhitch.fronts.listener import ConnectionManager
+from rushhitch.fronts.resp2 import Resp2Connection
 from rushhitch.journal import Journal
 from rushhitch.journal.boot import boot_id
 from rushhitch.journal.sidecar import SidecarFile, verified_content
@@ -64,7 +64,7 @@
 LEAVE_S = 3.3  # after SIGTERM: what is not over by then stays in the journal
 OWN_FILES = 48  # descriptors kept from clients and endpoints: some 12 for the process itself (log, loop,
 # lock, listeners, the newest segment), 2 for the watch and notices, 2 for files that are replaced or read
-# again, and 2 * `ACCEPTS` for clients that come to be turned away, or are closed to make room
+# again, and 2 * `MAX_ACCEPTS_PER_STEP` for clients that come to be turned away, or are closed to make room
 CALLER_FILES = MOST_CALLERS + 4  # likewise for operators and a successor, where the control address is on
 CLIENT_SHARE = 1 / 3  # of the descriptors: clients hold so many at most for requests
 LEAST_SHARE = 4  # descriptors for clients and as many for endpoints, however few there are
@@ -124,7 +124,7 @@
         self.journal = journal = inheritance.journal
         bans, kept = Bans(journal), KeptSettings(journal)
         most_clients, most_connections = shares(configuration)
-        self.notices = Notices(configuration.discovery, lambda number: node.notice_heard(number))
+        self.notices = NoticeSender(configuration.discovery, lambda number: node.notice_heard(number))
         spoken = codecs(configuration.own)
         check_classes(configuration)
         settings = in_force(configuration)
@@ -145,7 +145,7 @@
         self.handshake = make_handshake(node, configuration.own)
         node.sinks = make_sinks(configuration)
         self.planners = make_planners(node, configuration) if forward else None
-        self.clients = Clients(node, most_clients, int(BEGUN_SHARE * configuration.memory_bytes))
+        self.clients = ConnectionManager(node, most_clients, int(BEGUN_SHARE * configuration.memory_bytes))
         known = configuration.known
         if inheritance.told is not None:
             known = {name: inheritance.told[name] for name in ("version", "servers")} | {"full": True}
@@ -157,7 +157,7 @@
             random.Random(configuration.seed),
             dispatchers=configuration.settings.dispatchers,
         )
-        self.platform = Platform(self.watch, self.notices)
+        self.platform = PlatformClient(self.watch, self.notices)
         self.transfer, operators = StateTransfer(node), OperatorCommands(node)
         self.handover = Handover(
             configuration.state,
@@ -183,7 +183,9 @@
         else:
             resume(node)
         if any(message.kept.destination not in node.registry.destinations for message in node.by_id.values()):
-            self.watch.asks.spread_s = 0.0  # held messages wait for a list: it is asked for at once
+            self.watch.schedule.initial_spread_s = (
+                0.0  # held messages wait for a list: it is asked for at once
+            )
         self.platform.start()
         if self.planners is not None:
             self.planners.start()
@@ -200,7 +202,12 @@
         self.reloading = self.loop.create_task(reload(changed, configuration, node, self.kept, self.platform))
         listeners = self.inheritance.listeners
         try:
-            self.clients.listen(configuration.listen, Resp2.name, Resp2, listeners.pop(Resp2.name, None))
+            self.clients.listen(
+                configuration.listen,
+                Resp2Connection.name,
+                Resp2Connection,
+                listeners.pop(Resp2Connection.name, None),
+            )
         except OSError as error:
             raise BadConfiguration(f"ROUTER_LISTEN: {error}") from None
         if configuration.own.events is not None and configuration.own.events.listen is not None:
@@ -257,7 +264,7 @@
         self.sizing = self.loop.call_later(SIZE_S, self.size)
         most = self.member.bounds(self.loop.time()).most
         self.node.resize(most)
-        self.watch.asks.resize(most)
+        self.watch.schedule.resize(most)
 
     def hand_membership(self) -> dict[str, Any]:
         """The process that goes on is the same member, in a higher incarnation: nobody hears of a leave."""
@@ -294,10 +301,10 @@
         node.leaving(leave_at)
         finish_at = self.loop.time() + FINISH_S
         await asyncio.sleep(ACCEPT_S)
-        await clients.accept_waiting()
+        await clients.accept_backlog()
         clients.stop_listening()
         await asyncio.sleep(finish_at - self.loop.time())
-        clients.finish()
+        clients.drain()
         try:
             async with asyncio.timeout_at(leave_at):
                 await node.idle.wait()
@@ -306,8 +313,8 @@
             pass
         await self.transfer.freeze()  # what is not written whole has never run, and the journal says so
         await self.transfer.end_calls()
-        await clients.read_out()
-        clients.leave()
+        await clients.read_pending_input()
+        clients.close_all()
         node.commit()
         held = len(self.journal.live)
         log.info(
@@ -327,7 +334,7 @@
 
     def close(self) -> None:
         self.node.lifecycle.enter(Phase.CLOSED)
-        self.clients.leave()
+        self.clients.close_all()
         if self.reloading is not None:
             self.reloading.cancel()
         if self.telling is not None:
@@ -445,12 +452,15 @@
 
 
 def listen_for_events(
-    clients: Clients, configuration: Configuration, sinks: Sinks | None, passed: socket.socket | None = None
+    clients: ConnectionManager,
+    configuration: Configuration,
+    sinks: Sinks | None,
+    passed: socket.socket | None = None,
 ) -> None:
     """The CloudEvents front, beside RESP2 and within the same bounds."""
     from rushhitch.acceptor import Verdict
     from rushhitch.cloudevents.mapping import Acks, Rules  # with its library: only where it is on
-    from rushhitch.fronts.cloudevents import CloudEvents, front
+    from rushhitch.fronts.cloudevents import CloudEventsConnection, front
 
     events = configuration.own.events
     assert events is not None and events.listen is not None, "asked for only where it is set"
@@ -462,14 +472,18 @@
     more = (events.usual_ms, acks, sinks)
     rules = Rules(events.types, most_ms, events.destination, events.destinations, *more)
     try:
-        address = clients.listen(events.listen, CloudEvents.name, front(rules), passed)
+        address = clients.listen(events.listen, CloudEventsConnection.name, front(rules), passed)
     except OSError as error:
         raise BadConfiguration(f"[cloudevents] listen: {error}") from None
     log.info("CloudEvents are taken on %s:%d", *address)
 
 
 async def reload(
-    changed: asyncio.Event, configuration: Configuration, node: Node, kept: KeptSettings, platform: Platform
+    changed: asyncio.Event,
+    configuration: Configuration,
+    node: Node,
+    kept: KeptSettings,
+    platform: PlatformClient,
 ) -> None:
     """After each SIGHUP, go on with the file's `settings` and `discovery`, or with neither; all else in it
     waits for a restart."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -14,8 +14,8 @@
 from rushhitch.acceptor import ACCEPTED
 from rushhitch.fronts import admission, listener
 from rushhitch.fronts.admission import Standing, order
-from rushhitch.fronts.listener import Clients
-from rushhitch.fronts.resp2 import Resp2
+from rushhitch.fronts.listener import ConnectionManager
+from rushhitch.fronts.resp2 import Resp2Connection
 
 NOW = 100.0
 
@@ -83,7 +83,7 @@
 def test_a_choice_among_many_serves_for_the_newcomers_of_a_moment(monkeypatch):
     # Guards against going over all connections for each newcomer: 0.3 ms each with 340 of them.
     async def work():
-        server, choices = Clients(Acceptor(), 100), []
+        server, choices = ConnectionManager(Acceptor(), 100), []
 
         def counted(standings, now):
             choices.append(now)
@@ -91,7 +91,7 @@
 
         monkeypatch.setattr(listener, "order", counted)
         monkeypatch.setattr(listener, "CHOSEN_S", 1000.0)  # the moment does not end on a slow machine
-        server.listen(("127.0.0.1", 0), "resp2", Resp2)
+        server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         served = await connect(server)
         assert await served.ask(b"PING") == b"+PONG\r\n"
         crowd = [await connect(server) for _ in range(400)]
@@ -107,8 +107,8 @@
     most = min(1000, int(Path("/proc/sys/net/core/somaxconn").read_text()) - 1)
 
     async def work():
-        server = Clients(Acceptor(), 64)
-        server.listen(("127.0.0.1", 0), "resp2", Resp2)
+        server = ConnectionManager(Acceptor(), 64)
+        server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         server.pause_listening()
         crowd = [socket.create_connection(server.address, timeout=20) for _ in range(most)]
         assert len(crowd) == most
@@ -136,8 +136,8 @@
     async def work():
         before = descriptors()
         acceptor = Acceptor()
-        server = Clients(acceptor, 64)
-        server.listen(("127.0.0.1", 0), "resp2", Resp2)
+        server = ConnectionManager(acceptor, 64)
+        server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         over = asyncio.Event()
         told_off, crowd = 0, []
 
@@ -187,7 +187,7 @@
         assert number >= least and told_off == number
         server.stop_listening()
         while server.clients:
-            server.finish()
+            server.drain()
             await asyncio.sleep(0.05)
         await asyncio.sleep(0.1)
         assert descriptors() <= before + 4, "descriptors were not given back"
--- a/tests/test_close_over_unread.py
+++ b/tests/test_close_over_unread.py
@@ -7,8 +7,8 @@
 from doubles import run
 
 from rushhitch.acceptor import ACCEPTED
-from rushhitch.fronts.listener import Clients
-from rushhitch.fronts.resp2 import Resp2
+from rushhitch.fronts.listener import ConnectionManager
+from rushhitch.fronts.resp2 import Resp2Connection
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 ADD = b"*5\r\n$7\r\nOUT.ADD\r\n$2\r\n00\r\n$2\r\nm1\r\n$20\r\nc=note,d=6000,dest=7\r\n$4\r\nbody\r\n"
@@ -57,8 +57,8 @@
     # The client reads nothing: the system takes `+OK`, and no byte of it leaves the machine.
     async def work():
         acceptor = Acceptor()
-        server = Clients(acceptor, 16)
-        server.listen(("127.0.0.1", 0), "resp2", Resp2)
+        server = ConnectionManager(acceptor, 16)
+        server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         sock = await unread_client(server.address, 4000)
         await asyncio.sleep(1.0)
         await asyncio.get_running_loop().sock_sendall(sock, ADD)
@@ -73,8 +73,8 @@
     # An error on a pipelined request ends the connection: the reset goes before what the window holds back.
     async def work():
         acceptor = Acceptor()
-        server = Clients(acceptor, 16)
-        server.listen(("127.0.0.1", 0), "resp2", Resp2)
+        server = ConnectionManager(acceptor, 16)
+        server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         sock = await unread_client(server.address, 4000)
         loop = asyncio.get_running_loop()
         await asyncio.sleep(1.0)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,7 +8,7 @@
 from doubles import Peer, run
 
 from rushhitch import discovery
-from rushhitch.discovery import Notices, Platform, Watch
+from rushhitch.discovery import NoticeSender, PlatformClient, Watch
 
 
 def with_watch(silence_s=30.0):
@@ -105,8 +105,8 @@
 @pytest.mark.parametrize("dispatchers", [1, 5, 200, 5000])
 def test_what_a_silent_watch_misses_is_asked_for_before_it_counts_as_told(dispatchers):
     # A watch says its last word up to 2 s before its silence can begin to count; 1 s is left for the answer.
-    asks = discovery.Asks(random.Random(1), dispatchers)
-    latest = max(asks.soon() for _ in range(1000))
+    asks = discovery.ReconnectSchedule(random.Random(1), dispatchers)
+    latest = max(asks.delay_after_silence() for _ in range(1000))
     assert discovery.SILENCE_S + latest + 1.0 <= 6.0
     assert discovery.SILENCE_S > 2.0 + 1.0, "one late word is no silence"
     if dispatchers >= 200:
@@ -170,7 +170,7 @@
 def with_notices(test):
     async def work():
         platform, heard = await Peer().start(), asyncio.Queue()
-        notices = Notices(platform.address, heard.put_nowait)
+        notices = NoticeSender(platform.address, heard.put_nowait)
         task = asyncio.create_task(notices.run())
         await test(platform, notices, heard)
         task.cancel()
@@ -247,8 +247,8 @@
         old, new = await Peer().start(), await Peer().start()
         told, heard = asyncio.Queue(), asyncio.Queue()
         watch = Watch(old.address, 41, told.put_nowait, random.Random(1))
-        notices = Notices(old.address, heard.put_nowait)
-        platform = Platform(watch, notices)
+        notices = NoticeSender(old.address, heard.put_nowait)
+        platform = PlatformClient(watch, notices)
         platform.start()
         request = await old.next()
         request.start_watch()
@@ -256,7 +256,7 @@
         await told.get()
         notices.add(1, b"m1", "dead", 0.0)
         unanswered = await old.next()
-        watch.asks.failures = 16
+        watch.schedule.failures = 16
         platform.move(new.address)
         requests = {request.target: request for request in (await new.next(), await new.next())}
         assert set(requests) == {"/discovery/hosts?watch=1&from=42", "/status"}
@@ -264,7 +264,7 @@
         requests["/status"].answer(204)
         assert await heard.get() == 1
         assert await request.ended() and await unanswered.ended()
-        assert watch.asks.failures == 0
+        assert watch.schedule.failures == 0
         platform.stop()
 
     run(work())
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -12,8 +12,8 @@
 from rushhitch.acceptor import ACCEPTED, MAX_BODY_BYTES, BadRequest, Reply
 from rushhitch.fronts import admission
 from rushhitch.fronts import resp2 as clients
-from rushhitch.fronts.listener import Clients
-from rushhitch.fronts.resp2 import Resp2, parse_offer
+from rushhitch.fronts.listener import ConnectionManager
+from rushhitch.fronts.resp2 import Resp2Connection, parse_offer
 
 
 class Acceptor:
@@ -40,8 +40,8 @@
     def decorate(test):
         async def work():
             acceptor = Acceptor()
-            server = Clients(acceptor, most)
-            server.listen(("127.0.0.1", 0), "resp2", Resp2)
+            server = ConnectionManager(acceptor, most)
+            server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
             await test(server, acceptor)
 
         run(work())
@@ -238,7 +238,7 @@
         client = await connect(server)
         assert await client.ask(b"PING") == b"+PONG\r\n"
         client.send(b"PING")  # in the kernel by now, and not read while this does not wait
-        server.finish()
+        server.drain()
         assert await client.line() == b"+PONG\r\n" and await client.line() == b""
 
 
@@ -268,7 +268,7 @@
         while not any(client.framing.size for client in server.clients):
             await asyncio.sleep(0)
         server.stop_listening()
-        server.finish()
+        server.drain()
         assert await idle.line() == b""
         answer(ACCEPTED)
         assert await asking.line() == b"+OK\r\n" and await asking.line() == b""
@@ -389,7 +389,7 @@
         waiting = [await connect(server) for _ in range(40)]
         for client in waiting:
             client.send(b"PING")
-        await server.accept_waiting()
+        await server.accept_backlog()
         server.stop_listening()
         for client in waiting:
             assert await client.line() == b"+PONG\r\n"
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -14,8 +14,8 @@
 from rushhitch import connection
 from rushhitch.cloudevents.http import decode
 from rushhitch.fronts.cloudevents import front
-from rushhitch.fronts.listener import Clients
-from rushhitch.fronts.resp2 import Resp2
+from rushhitch.fronts.listener import ConnectionManager
+from rushhitch.fronts.resp2 import Resp2Connection
 from rushhitch.partners.cloudevents import CloudEvents
 
 FRONTS = ("resp2", "binary", "structured", "batch")
@@ -122,9 +122,9 @@
         types = {"pay": "com.example.pay", "note": "com.example.note"}
         node.registry.codecs = {7: CloudEvents(speaks, "/rushhitch", types)}
         node.registry.apply_update({"version": 42, "full": False, "servers": [bench.row]})
-    clients = Clients(node, 16)
+    clients = ConnectionManager(node, 16)
     addresses = [
-        clients.listen(("127.0.0.1", 0), "resp2", Resp2),
+        clients.listen(("127.0.0.1", 0), "resp2", Resp2Connection),
         clients.listen(("127.0.0.1", 0), "cloudevents", front(RULES)),
     ]
     try:
@@ -158,8 +158,8 @@
 def test_final_answers_and_resends_are_the_same_by_every_protocol(tmp_path, monkeypatch, name, way, speaks):
     cls, script, expected, sends = SCRIPTS[name]
     if "early" in script:
-        monkeypatch.setattr(connection, "LOOK_S", 0.5)
-        monkeypatch.setattr(connection, "LOOK_TOP_S", 0.5)
+        monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", 0.5)
+        monkeypatch.setattr(connection, "MAX_LAST_BYTE_DELAY_S", 0.5)
 
     async def work():
         end, seen = await play(tmp_path / "n", way, speaks, cls, script, monkeypatch)
@@ -183,8 +183,8 @@
         bench = await Bench().start(tmp_path)
         bench.node.registry.codecs = {7: CloudEvents("binary", "/rushhitch", {})}
         bench.node.registry.apply_update({"version": 42, "full": False, "servers": [bench.row]})
-        clients = Clients(bench.node, 16)
-        address = clients.listen(("127.0.0.1", 0), "resp2", Resp2)
+        clients = ConnectionManager(bench.node, 16)
+        address = clients.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         client = Client(*await asyncio.open_connection(*address))
         assert await client.add(b"m1", "pay", 24_000, b"hello") == b"+OK\r\n"
         for attempt in range(bench.node.settings.max_attempts):
