--- a/rushhitch/cli.py
+++ b/rushhitch/cli.py
@@ -68,7 +68,7 @@
 
 
 def planner(told: argparse.Namespace) -> int:
-    from rushhitch.config.own import BadOwn, read_own
+    from rushhitch.config.deployment import BadOwn, read_own
     from rushhitch.planning import server, show
     from rushhitch.process import run
 
--- a/rushhitch/config/platform.py
+++ b/rushhitch/config/platform.py
@@ -10,7 +10,7 @@
 
 from crowpier.benchlink import settings_of
 from crowpier.interface import Settings
-from rushhitch.config.own import BadOwn, Own, read_own
+from rushhitch.config.deployment import BadOwn, Own, read_own
 from rushhitch.connection import parse_address
 
 
--- a/rushhitch/membership/server.py
+++ b/rushhitch/membership/server.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from rushhitch.config.own import Membership
+from rushhitch.config.deployment import Membership
 from rushhitch.membership.detector import Detector, Tuning
 from rushhitch.membership.kept import Kept
 from rushhitch.membership.messages import Exchange, Output, Row, Send, Warn
--- a/rushhitch/membership/show.py
+++ b/rushhitch/membership/show.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from rushhitch.config.own import BadOwn, Membership, address_of, read_own
+from rushhitch.config.deployment import BadOwn, Membership, address_of, read_own
 from rushhitch.membership.server import call
 from rushhitch.membership.wire import Role, WireError
 
--- a/rushhitch/planning/server.py
+++ b/rushhitch/planning/server.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from rushhitch.config.own import Own
+from rushhitch.config.deployment import Own
 from rushhitch.planning.planner import ALIVE_MS, Planner
 from rushhitch.planning.wire import Kind, Link, Role, WireError, decode_report, encode_grants, frame
 
--- a/rushhitch/planning/show.py
+++ b/rushhitch/planning/show.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from rushhitch.config.own import BadOwn, Own
+from rushhitch.config.deployment import BadOwn, Own
 from rushhitch.planning.wire import Kind, Link, Role, WireError, frame
 
 PATIENCE_S = 3.0
--- a/rushhitch/process.py
+++ b/rushhitch/process.py
@@ -12,7 +12,7 @@
 from logfmter import Logfmter
 
 from rushhitch import signals
-from rushhitch.config.own import BadOwn, read_own
+from rushhitch.config.deployment import BadOwn, read_own
 from rushhitch.config.platform import BadConfiguration
 
 
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -18,8 +18,8 @@
 from crowpier import Dispatcher
 from crowpier.interface import Outcome, Settings
 from rushhitch import signals
+from rushhitch.config.deployment import MODES, Own
 from rushhitch.config.history import History, lacking
-from rushhitch.config.own import MODES, Own
 from rushhitch.config.platform import (
     BadConfiguration,
     BadFile,
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rushhitch.config.own import BadOwn, Membership, parse_own
+from rushhitch.config.deployment import BadOwn, Membership, parse_own
 from rushhitch.membership.messages import Ack, Ask, Ping, Relayed, Row, Send, Vouch
 from rushhitch.membership.server import Server
 from rushhitch.membership.wire import (
--- a/tests/test_own.py
+++ b/tests/test_own.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rushhitch.config.own import (
+from rushhitch.config.deployment import (
     LOOPS,
     SYNCS,
     Acknowledging,
--- a/tests/test_sharing_processes.py
+++ b/tests/test_sharing_processes.py
@@ -16,7 +16,7 @@
 
 from lab.fleet import MemberFleet
 from lab.member_cases import cut, healed
-from rushhitch.config.own import BadOwn, parse_own
+from rushhitch.config.deployment import BadOwn, parse_own
 from rushhitch.sharing.budgets import LOAN_S
 from rushhitch.sharing.messages import Lent, Wanted
 from rushhitch.sharing.wire import decode, encode
