--- a/rushhitch/cli.py
+++ b/rushhitch/cli.py
@@ -68,15 +68,15 @@
 
 
 def planner(told: argparse.Namespace) -> int:
-    from rushhitch.config.deployment import BadOwn, read_own
+    from rushhitch.config.deployment import DeploymentError, read_deployment
     from rushhitch.planning import server, show
     from rushhitch.process import run
 
     def work() -> Coroutine[Any, Any, None]:
-        own = read_own(os.environ)
+        own = read_deployment(os.environ)
         if told.name not in own.planners:
             known = ", ".join(own.planners) or "there are none"
-            raise BadOwn(f"[planning] planners has no {told.name!r}: {known}")
+            raise DeploymentError(f"[planning] planners has no {told.name!r}: {known}")
         if told.show:
             return show.show(own, told.name)
         return server.serve(own, told.name)
--- a/rushhitch/config/deployment.py
+++ b/rushhitch/config/deployment.py
@@ -19,7 +19,7 @@
 SYNCS = ("none", "batch", "always")  # as `rushhitch.journal.Sync` has them
 
 
-class BadOwn(ValueError):
+class DeploymentError(ValueError):
     """The file makes no sense; the text names the file, the line, the fault and the remedy."""
 
 
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
+class DeploymentSettings:
     """The settings of the file, by section and key; each has a default."""
 
     sync: str = "none"  # [journal] sync
@@ -115,28 +115,30 @@
     sharing: Sharing | None = None  # [sharing], where the section is there
 
 
-def read_own(environ: Mapping[str, str]) -> Own:
+def read_deployment(environ: Mapping[str, str]) -> DeploymentSettings:
     """The file that `RUSHHITCH_TOML` names, or the default one; no default file is like an empty one.
-    Raises `BadOwn`."""
+    Raises `DeploymentError`."""
     named = environ.get(VARIABLE)
     path = Path(named) if named else DEFAULT
     try:
         text = path.read_text("utf-8")
     except FileNotFoundError:
         if named:
-            raise BadOwn(f"{VARIABLE}: {path} does not exist: name an existing file, or unset it") from None
-        return Own()
+            raise DeploymentError(
+                f"{VARIABLE}: {path} does not exist: name an existing file, or unset it"
+            ) from None
+        return DeploymentSettings()
     except (OSError, UnicodeDecodeError) as error:
-        raise BadOwn(f"{path}: {error}") from None
-    return parse_own(text, str(path))
+        raise DeploymentError(f"{path}: {error}") from None
+    return parse_deployment(text, str(path))
 
 
-def parse_own(text: str, name: str) -> Own:
+def parse_deployment(text: str, name: str) -> DeploymentSettings:
     """The settings in a file's text."""
     try:
         told = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise BadOwn(f"{name}: {error}") from None
+        raise DeploymentError(f"{name}: {error}") from None
     known = {
         "journal": {"sync"},
         "process": {"loop", "log"},
@@ -170,16 +172,16 @@
     for section, values in told.items():
         if section not in known:
             what = f"[{section}] is not a section: remove it, or use one of {', '.join(sorted(known))}"
-            raise BadOwn(f"{name}:{line_of(text, section)}: {what}")
+            raise DeploymentError(f"{name}:{line_of(text, section)}: {what}")
         if not isinstance(values, dict):
             what = f"{section} must be a section: write [{section}] above its keys"
-            raise BadOwn(f"{name}:{line_of(text, section)}: {what}")
+            raise DeploymentError(f"{name}:{line_of(text, section)}: {what}")
         for key in values:
             if key not in known[section]:
                 what = (
                     f"{key} is no key of [{section}]: remove it, or use {', '.join(sorted(known[section]))}"
                 )
-                raise BadOwn(f"{name}:{line_of(text, section, key)}: {what}")
+                raise DeploymentError(f"{name}:{line_of(text, section, key)}: {what}")
     sync = choice_of(told, "journal", "sync", SYNCS, text, name)
     loop = choice_of(told, "process", "loop", LOOPS, text, name)
     log = choice_of(told, "process", "log", LOGS, text, name)
@@ -191,15 +193,17 @@
         sharing = sharing_of(told["sharing"], text, name)
         if member is None or planning["planners"]:
             remedy = "add [membership]" if member is None else "planners share limits: remove one of the two"
-            raise BadOwn(f"{name}:{line_of(text, 'sharing')}: [sharing] needs members, no planners: {remedy}")
-    return Own(sync, loop, log, **planning, events=events, membership=member, sharing=sharing)
+            raise DeploymentError(
+                f"{name}:{line_of(text, 'sharing')}: [sharing] needs members, no planners: {remedy}"
+            )
+    return DeploymentSettings(sync, loop, log, **planning, events=events, membership=member, sharing=sharing)
 
 
 def sharing_of(told: dict[str, Any], text: str, name: str) -> Sharing:
     floor = told.get("floor", Sharing().floor)
     if isinstance(floor, bool) or not isinstance(floor, (int, float)) or not 0.01 <= floor <= 0.9:
         place = f"{name}:{line_of(text, 'sharing', 'floor')}"
-        raise BadOwn(f"{place}: floor must be a share from 0.01 to 0.9, not {floor!r}")
+        raise DeploymentError(f"{place}: floor must be a share from 0.01 to 0.9, not {floor!r}")
     return Sharing(float(floor))
 
 
@@ -211,15 +215,15 @@
     if value not in choices:
         allowed = ", ".join(f'"{choice}"' for choice in choices)
         place = f"{name}:{line_of(text, section, key)}"
-        raise BadOwn(f"{place}: {key} must be one of {allowed}, not {value!r}")
+        raise DeploymentError(f"{place}: {key} must be one of {allowed}, not {value!r}")
     return value
 
 
 def planning_of(told: dict[str, Any], text: str, name: str) -> dict[str, Any]:
     """The fields of `[planning]`."""
 
-    def fault(key: str, what: str) -> BadOwn:
-        return BadOwn(f"{name}:{line_of(text, 'planning', key)}: {what}")
+    def fault(key: str, what: str) -> DeploymentError:
+        return DeploymentError(f"{name}:{line_of(text, 'planning', key)}: {what}")
 
     found: dict[str, Any] = {}
     planners = told.get("planners", {})
@@ -251,8 +255,8 @@
 def membership_of(told: dict[str, Any], text: str, name: str) -> Membership | None:
     """`[membership]`; None where there is none."""
 
-    def fault(key: str, what: str) -> BadOwn:
-        return BadOwn(f"{name}:{line_of(text, 'membership', key)}: {what}")
+    def fault(key: str, what: str) -> DeploymentError:
+        return DeploymentError(f"{name}:{line_of(text, 'membership', key)}: {what}")
 
     if not told:
         return None
@@ -295,8 +299,8 @@
 def events_of(told: dict[str, Any], text: str, name: str) -> Events | None:
     """`[cloudevents]`; None where there is none. Classes are checked at the start, with the settings."""
 
-    def fault(key: str, what: str) -> BadOwn:
-        return BadOwn(f"{name}:{line_of(text, 'cloudevents', key)}: {what}")
+    def fault(key: str, what: str) -> DeploymentError:
+        return DeploymentError(f"{name}:{line_of(text, 'cloudevents', key)}: {what}")
 
     def table(key: str, kind: type | tuple[type, ...], what: str) -> dict[str, Any]:
         value = told.get(key, {})
@@ -356,7 +360,7 @@
     )
 
 
-def sinking_of(told: Any, partners: frozenset[int], fault: Callable[[str, str], BadOwn]) -> Sinking:
+def sinking_of(told: Any, partners: frozenset[int], fault: Callable[[str, str], DeploymentError]) -> Sinking:
     """`sinks` of `[cloudevents]`, a table."""
     keys = {"destinations", "class", "attribute", "type"}
     if not isinstance(told, dict) or not keys >= told.keys():
@@ -377,7 +381,7 @@
 
 
 def acknowledging_of(
-    told: Any, partners: frozenset[int], listens: bool, fault: Callable[[str, str], BadOwn]
+    told: Any, partners: frozenset[int], listens: bool, fault: Callable[[str, str], DeploymentError]
 ) -> Acknowledging:
     """`acknowledgements` of `[cloudevents]`, a table."""
     key = "acknowledgements"
@@ -402,7 +406,7 @@
     return Acknowledging(sources, types, *names)
 
 
-def asking_of(told: Any, partners: frozenset[int], fault: Callable[[str, str], BadOwn]) -> Asking:
+def asking_of(told: Any, partners: frozenset[int], fault: Callable[[str, str], DeploymentError]) -> Asking:
     """`handshake` of `[cloudevents]`, a table."""
     keys = {"origin", "destinations", "rate", "renew_s"}
     if not isinstance(told, dict) or not keys >= told.keys():
--- a/rushhitch/config/platform.py
+++ b/rushhitch/config/platform.py
@@ -10,7 +10,7 @@
 
 from crowpier.benchlink import settings_of
 from crowpier.interface import Settings
-from rushhitch.config.deployment import BadOwn, Own, read_own
+from rushhitch.config.deployment import DeploymentError, DeploymentSettings, read_deployment
 from rushhitch.connection import parse_address
 
 
@@ -36,7 +36,7 @@
     memory_bytes: float
     known: dict[str, Any]
     settings: Settings
-    own: Own
+    own: DeploymentSettings
     control: tuple[str, int] | None = None
     told: dict[str, Any] = field(default_factory=dict)
 
@@ -60,8 +60,8 @@
     if not isinstance(told, dict):
         raise BadFile(f"ROUTER_CONFIG: {path}: not an object")
     try:
-        own = read_own(environ)
-    except BadOwn as error:
+        own = read_deployment(environ)
+    except DeploymentError as error:
         raise BadConfiguration(str(error)) from None
     state = Path(environ["ROUTER_STATE"])
     if not state.is_dir():
--- a/rushhitch/membership/show.py
+++ b/rushhitch/membership/show.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from rushhitch.config.deployment import BadOwn, Membership, address_of, read_own
+from rushhitch.config.deployment import DeploymentError, Membership, address_of, read_deployment
 from rushhitch.membership.server import call
 from rushhitch.membership.wire import Role, WireError
 
@@ -61,19 +61,21 @@
     """The command, which shows what a stream of that role tells. 0 where it was told, 2 where it could not be
     had."""
     try:
-        own = read_own(os.environ).membership
+        own = read_deployment(os.environ).membership
         if own is None:
             needs = "[membership] in deploy/rushhitch.toml: its secret_file is the way in"
-            raise BadOwn(f"{command} needs {needs}")
+            raise DeploymentError(f"{command} needs {needs}")
         if (address := address_of(word)) is None:
-            raise BadOwn(f"{command} {word}: write host:port, the [membership] listen of a dispatcher")
+            raise DeploymentError(
+                f"{command} {word}: write host:port, the [membership] listen of a dispatcher"
+            )
         while True:
             told = ask(own, address, role)
             print(json.dumps(told) if as_json else shown(told), flush=True)
             if not watch:
                 return 0
             time.sleep(WATCH_S)
-    except BadOwn as error:
+    except DeploymentError as error:
         print(f"rushhitch: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
@@ -84,4 +86,4 @@
     try:
         return asyncio.run(fetch(address, own.secret, role))
     except (OSError, TimeoutError, WireError) as error:
-        raise BadOwn(f"no answer from {address[0]}:{address[1]}: {error!r}") from None
+        raise DeploymentError(f"no answer from {address[0]}:{address[1]}: {error!r}") from None
--- a/rushhitch/planning/server.py
+++ b/rushhitch/planning/server.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from rushhitch.config.deployment import Own
+from rushhitch.config.deployment import DeploymentSettings
 from rushhitch.planning.planner import ALIVE_MS, Planner
 from rushhitch.planning.wire import Kind, Link, Role, WireError, decode_report, encode_grants, frame
 
@@ -143,7 +143,7 @@
         return told | {"lanes": lanes}
 
 
-async def serve(own: Own, name: str) -> None:
+async def serve(own: DeploymentSettings, name: str) -> None:
     """Plan until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
--- a/rushhitch/planning/show.py
+++ b/rushhitch/planning/show.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from rushhitch.config.deployment import BadOwn, Own
+from rushhitch.config.deployment import DeploymentError, DeploymentSettings
 from rushhitch.planning.wire import Kind, Link, Role, WireError, frame
 
 PATIENCE_S = 3.0
@@ -58,10 +58,10 @@
     return "\n".join([head, *lines])
 
 
-async def show(own: Own, name: str) -> None:
+async def show(own: DeploymentSettings, name: str) -> None:
     try:
         print(table(await fetch(own.planners[name], own.secret)))
     except (OSError, TimeoutError, WireError) as error:
-        raise BadOwn(
+        raise DeploymentError(
             f"planner {name} at {own.planners[name][0]}:{own.planners[name][1]}: {error!r}"
         ) from None
--- a/rushhitch/process.py
+++ b/rushhitch/process.py
@@ -12,7 +12,7 @@
 from logfmter import Logfmter
 
 from rushhitch import signals
-from rushhitch.config.deployment import BadOwn, read_own
+from rushhitch.config.deployment import DeploymentError, read_deployment
 from rushhitch.config.platform import BadConfiguration
 
 
@@ -63,14 +63,14 @@
     handler.setFormatter(FieldsFormatter("%(asctime)s %(levelname)s %(message)s"))
     logging.basicConfig(handlers=[handler], level=logging.INFO)
     try:
-        own = read_own(os.environ)
+        own = read_deployment(os.environ)
         logging.getLogger("rushhitch").setLevel(own.log.upper())
         with asyncio.Runner(loop_factory=loop_factory(own.loop)) as runner:
             try:
                 runner.run(work())
             finally:
                 signals.detach()
-    except (BadConfiguration, BadOwn) as error:
+    except (BadConfiguration, DeploymentError) as error:
         print(f"rushhitch: {error}", file=sys.stderr)
         return 2
     return 0
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -18,7 +18,7 @@
 from crowpier import Dispatcher
 from crowpier.interface import Outcome, Settings
 from rushhitch import signals
-from rushhitch.config.deployment import MODES, Own
+from rushhitch.config.deployment import MODES, DeploymentSettings
 from rushhitch.config.history import History, lacking
 from rushhitch.config.platform import (
     BadConfiguration,
@@ -395,7 +395,7 @@
     return sharing
 
 
-def codecs(own: Own) -> dict[int, Codec]:
+def codecs(own: DeploymentSettings) -> dict[int, Codec]:
     """What destinations speak that do not speak the platform's protocol."""
     if own.events is None or not own.events.partners:
         return {}
@@ -412,7 +412,7 @@
     return {number: made[mode, number in acknowledging] for number, mode in own.events.partners.items()}
 
 
-def make_handshake(node: Node, own: Own) -> Handshake | None:
+def make_handshake(node: Node, own: DeploymentSettings) -> Handshake | None:
     """What asks partners whether they want events, as the gate of the node."""
     if own.events is None or own.events.handshake is None:
         return None
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rushhitch.config.deployment import BadOwn, Membership, parse_own
+from rushhitch.config.deployment import DeploymentError, Membership, parse_deployment
 from rushhitch.membership.messages import Ack, Ask, Ping, Relayed, Row, Send, Vouch
 from rushhitch.membership.server import Server
 from rushhitch.membership.wire import (
@@ -243,7 +243,7 @@
 
 def own(tmp_path, text):
     (tmp_path / "secret").write_bytes(SECRET)
-    return parse_own(text.replace("SECRET", str(tmp_path / "secret")), "own.toml").membership
+    return parse_deployment(text.replace("SECRET", str(tmp_path / "secret")), "own.toml").membership
 
 
 SEEDS = '["127.0.0.1:7101", "127.0.0.1:7102"]'
@@ -272,5 +272,5 @@
     ],
 )
 def test_a_section_that_makes_no_sense_is_told_with_line_and_remedy(tmp_path, change, error):
-    with pytest.raises(BadOwn, match=error):
+    with pytest.raises(DeploymentError, match=error):
         own(tmp_path, GOOD.replace(*change))
--- a/tests/test_own.py
+++ b/tests/test_own.py
@@ -11,19 +11,19 @@
     SYNCS,
     Acknowledging,
     Asking,
-    BadOwn,
+    DeploymentError,
+    DeploymentSettings,
     Events,
-    Own,
     Sinking,
-    parse_own,
-    read_own,
+    parse_deployment,
+    read_deployment,
 )
 from rushhitch.journal import Sync
 from rushhitch.process import loop_factory
 
 
 def test_the_file_of_the_repository_is_sound_and_promises_what_the_platform_needs():
-    assert read_own({}) == Own(sync="none")
+    assert read_deployment({}) == DeploymentSettings(sync="none")
 
 
 def test_the_choices_are_those_of_the_journal():
@@ -40,7 +40,7 @@
 def planning(tmp_path, text):
     secret = tmp_path / "secret"
     secret.write_text("a secret that is long enough\n")
-    return parse_own(f'[planning]\nsecret_file = "{secret}"\n{text}', "x")
+    return parse_deployment(f'[planning]\nsecret_file = "{secret}"\n{text}', "x")
 
 
 def test_planners_are_read_with_their_addresses_and_the_secret(tmp_path):
@@ -59,19 +59,19 @@
     ],
 )
 def test_a_fault_in_planning_is_told_with_its_place(tmp_path, text, error):
-    with pytest.raises(BadOwn, match=re.escape(error)):
+    with pytest.raises(DeploymentError, match=re.escape(error)):
         planning(tmp_path, text)
 
 
 def test_planners_without_a_secret_are_refused():
-    with pytest.raises(BadOwn, match="planners need a secret_file of 16 bytes or more"):
-        parse_own('[planning]\nplanners = { p1 = "127.0.0.1:7001" }\n', "x")
-    with pytest.raises(BadOwn, match="x:2: secret_file: .* name a file that can be read"):
-        parse_own('[planning]\nsecret_file = "/no/such/file"\n', "x")
+    with pytest.raises(DeploymentError, match="planners need a secret_file of 16 bytes or more"):
+        parse_deployment('[planning]\nplanners = { p1 = "127.0.0.1:7001" }\n', "x")
+    with pytest.raises(DeploymentError, match="x:2: secret_file: .* name a file that can be read"):
+        parse_deployment('[planning]\nsecret_file = "/no/such/file"\n', "x")
 
 
 def test_an_empty_file_means_the_defaults():
-    assert parse_own("", "x") == Own()
+    assert parse_deployment("", "x") == DeploymentSettings()
 
 
 @pytest.mark.parametrize(
@@ -93,17 +93,17 @@
     ],
 )
 def test_a_fault_is_told_with_its_place(text, error):
-    with pytest.raises(BadOwn) as told:
-        parse_own(text, "x")
+    with pytest.raises(DeploymentError) as told:
+        parse_deployment(text, "x")
     assert str(told.value) == error.replace("x:1: sync", "x:2: sync")
 
 
 def test_a_file_that_is_named_must_exist(tmp_path):
     missing = tmp_path / "none.toml"
-    with pytest.raises(BadOwn, match="does not exist: name an existing file, or unset it"):
-        read_own({"RUSHHITCH_TOML": str(missing)})
+    with pytest.raises(DeploymentError, match="does not exist: name an existing file, or unset it"):
+        read_deployment({"RUSHHITCH_TOML": str(missing)})
     missing.write_text('[journal]\nsync = "batch"\n')
-    assert read_own({"RUSHHITCH_TOML": str(missing)}).sync == "batch"
+    assert read_deployment({"RUSHHITCH_TOML": str(missing)}).sync == "batch"
     assert isinstance(missing, Path)
 
 
@@ -111,12 +111,16 @@
 
 
 def test_the_cloudevents_front_is_off_without_its_section_and_reads_it():
-    assert parse_own("", "x").events is None
-    told = parse_own(EVENTS + 'destinations = { "bank-a" = 3 }\nusual_ms = { pay = 800 }\n', "x").events
+    assert parse_deployment("", "x").events is None
+    told = parse_deployment(
+        EVENTS + 'destinations = { "bank-a" = 3 }\nusual_ms = { pay = 800 }\n', "x"
+    ).events
     assert told == Events(
         ("127.0.0.1", 8080), {"com.example.paid": "pay"}, "subject", {"bank-a": 3}, {"pay": 800.0}
     )
-    told = parse_own('[cloudevents]\npartners = { 3 = "batch" }\nsource = "/a"\npath = "/in"\n', "x").events
+    told = parse_deployment(
+        '[cloudevents]\npartners = { 3 = "batch" }\nsource = "/a"\npath = "/in"\n', "x"
+    ).events
     assert told == Events(partners={3: "batch"}, source="/a", path="/in")
 
 
@@ -126,7 +130,7 @@
 
 
 def test_sinks_and_acknowledgements_are_read():
-    told = parse_own(BOTH + SINK + ACK, "x").events
+    told = parse_deployment(BOTH + SINK + ACK, "x").events
     assert told.sinks == Sinking({"books": 40}, "note")
     assert told.acknowledgements == Acknowledging({"/bank": 3}, {"org.bank.done": "delivered"})
 
@@ -157,22 +161,24 @@
     ],
 )
 def test_a_fault_in_sinks_and_acknowledgements_is_told_with_its_place(text, error):
-    with pytest.raises(BadOwn, match=re.escape(error)):
-        parse_own(BOTH + text, "x")
+    with pytest.raises(DeploymentError, match=re.escape(error)):
+        parse_deployment(BOTH + text, "x")
 
 
 def test_acknowledgements_need_a_front_to_come_in_at():
-    with pytest.raises(BadOwn, match="x:3: acknowledgements come in at the front: set listen as well"):
-        parse_own('[cloudevents]\npartners = { 3 = "binary" }\n' + ACK, "x")
+    with pytest.raises(
+        DeploymentError, match="x:3: acknowledgements come in at the front: set listen as well"
+    ):
+        parse_deployment('[cloudevents]\npartners = { 3 = "binary" }\n' + ACK, "x")
 
 
 def test_partners_may_have_to_agree_all_that_get_events_or_some():
     text = '[cloudevents]\npartners = { 3 = "batch", 4 = "binary" }\n'
-    assert parse_own(text, "x").events.handshake is None
-    told = parse_own(text + 'handshake = { origin = "a.example" }\n', "x").events.handshake
+    assert parse_deployment(text, "x").events.handshake is None
+    told = parse_deployment(text + 'handshake = { origin = "a.example" }\n', "x").events.handshake
     assert told == Asking("a.example", frozenset({3, 4}), 0, 600.0)
     text += 'handshake = { origin = "a.example", destinations = [4], rate = 60, renew_s = 5 }\n'
-    assert parse_own(text, "x").events.handshake == Asking("a.example", frozenset({4}), 60, 5.0)
+    assert parse_deployment(text, "x").events.handshake == Asking("a.example", frozenset({4}), 60, 5.0)
 
 
 @pytest.mark.parametrize(
@@ -212,5 +218,5 @@
     ],
 )
 def test_a_fault_in_cloudevents_is_told_with_its_place(text, error):
-    with pytest.raises(BadOwn, match=re.escape(error)):
-        parse_own(text, "x")
+    with pytest.raises(DeploymentError, match=re.escape(error)):
+        parse_deployment(text, "x")
--- a/tests/test_sharing_processes.py
+++ b/tests/test_sharing_processes.py
@@ -16,7 +16,7 @@
 
 from lab.fleet import MemberFleet
 from lab.member_cases import cut, healed
-from rushhitch.config.deployment import BadOwn, parse_own
+from rushhitch.config.deployment import DeploymentError, parse_deployment
 from rushhitch.sharing.budgets import LOAN_S
 from rushhitch.sharing.messages import Lent, Wanted
 from rushhitch.sharing.wire import decode, encode
@@ -177,14 +177,16 @@
     secret.write_bytes(b"s" * 16)
     member = '[membership]\nlisten = "127.0.0.1:7101"\nseeds = ["127.0.0.1:7101"]\n'
     member += f'secret_file = "{secret}"\n'
-    own = parse_own(member + "[sharing]\nfloor = 0.2\n", "f")
+    own = parse_deployment(member + "[sharing]\nfloor = 0.2\n", "f")
     assert own.sharing is not None and own.sharing.floor == 0.2
-    assert parse_own(member + "[sharing]\n", "f").sharing.floor == 0.1
-    assert parse_own(member, "f").sharing is None
-    with pytest.raises(BadOwn, match=r"f:6: floor must be a share from 0.01 to 0.9, not 1"):
-        parse_own(member + "[sharing]\nfloor = 1\n", "f")
-    with pytest.raises(BadOwn, match=r"f:1: \[sharing\] needs members, no planners: add \[membership\]"):
-        parse_own("[sharing]\n", "f")
+    assert parse_deployment(member + "[sharing]\n", "f").sharing.floor == 0.1
+    assert parse_deployment(member, "f").sharing is None
+    with pytest.raises(DeploymentError, match=r"f:6: floor must be a share from 0.01 to 0.9, not 1"):
+        parse_deployment(member + "[sharing]\nfloor = 1\n", "f")
+    with pytest.raises(
+        DeploymentError, match=r"f:1: \[sharing\] needs members, no planners: add \[membership\]"
+    ):
+        parse_deployment("[sharing]\n", "f")
     planning = f'[planning]\nplanners = {{ p = "127.0.0.1:1" }}\nsecret_file = "{secret}"\n'
-    with pytest.raises(BadOwn, match="planners share limits"):
-        parse_own(member + planning + "[sharing]\n", "f")
+    with pytest.raises(DeploymentError, match="planners share limits"):
+        parse_deployment(member + planning + "[sharing]\n", "f")
