--- a/rushhitch/cli.py
+++ b/rushhitch/cli.py
@@ -58,7 +58,7 @@
 
     def work() -> Coroutine[Any, Any, None]:
         configuration = read_configuration(os.environ)
-        if not configuration.own.planners:
+        if not configuration.deployment.planners:
             raise BadConfiguration(
                 "forward needs [planning] planners in deploy/rushhitch.toml: name them there"
             )
@@ -73,13 +73,13 @@
     from rushhitch.process import run
 
     def work() -> Coroutine[Any, Any, None]:
-        own = read_deployment(os.environ)
-        if told.name not in own.planners:
-            known = ", ".join(own.planners) or "there are none"
+        deployment = read_deployment(os.environ)
+        if told.name not in deployment.planners:
+            known = ", ".join(deployment.planners) or "there are none"
             raise DeploymentError(f"[planning] planners has no {told.name!r}: {known}")
         if told.show:
-            return show.show(own, told.name)
-        return server.serve(own, told.name)
+            return show.show(deployment, told.name)
+        return server.serve(deployment, told.name)
 
     return run(work)
 
--- a/rushhitch/config/platform.py
+++ b/rushhitch/config/platform.py
@@ -36,7 +36,7 @@
     memory_bytes: float
     known: dict[str, Any]
     settings: Settings
-    own: DeploymentSettings
+    deployment: DeploymentSettings
     control: tuple[str, int] | None = None
     told: dict[str, Any] = field(default_factory=dict)
 
@@ -60,7 +60,7 @@
     if not isinstance(told, dict):
         raise BadFile(f"ROUTER_CONFIG: {path}: not an object")
     try:
-        own = read_deployment(environ)
+        deployment = read_deployment(environ)
     except DeploymentError as error:
         raise BadConfiguration(str(error)) from None
     state = Path(environ["ROUTER_STATE"])
@@ -96,7 +96,7 @@
         get(megabytes, "limits", "memory_mb"),
         get(known_list, "known"),
         get(lambda told: settings_of(json.dumps(told).encode()), "settings"),
-        own,
+        deployment,
         get(parse_address, "control", variable="ROUTER_CONTROL")
         if told.get("control") or environ.get("ROUTER_CONTROL")
         else None,
--- a/rushhitch/planning/server.py
+++ b/rushhitch/planning/server.py
@@ -143,21 +143,23 @@
         return told | {"lanes": lanes}
 
 
-async def serve(own: DeploymentSettings, name: str) -> None:
+async def serve(deployment: DeploymentSettings, name: str) -> None:
     """Plan until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    planner = Planner(name, list(own.planners), own.cold_from, own.warm_ms, own.fall_multiple)
-    server = PlannerServer(planner, own.secret)
-    if own.membership is not None:
+    planner = Planner(
+        name, list(deployment.planners), deployment.cold_from, deployment.warm_ms, deployment.fall_multiple
+    )
+    server = PlannerServer(planner, deployment.secret)
+    if deployment.membership is not None:
         from rushhitch.membership.server import Server as Member  # with its library: only where it is on
 
-        named = replace(own.membership, name=own.membership.name or name)
-        server.member = Member(named, own.membership.fleet or 1)
+        named = replace(deployment.membership, name=deployment.membership.name or name)
+        server.member = Member(named, deployment.membership.fleet or 1)
         server.member.start()
-    address = await server.listen(own.planners[name])
+    address = await server.listen(deployment.planners[name])
     log.info("planner %s is ready on %s:%d", planner.name, *address)
     await stop.wait()
     if server.member is not None:
--- a/rushhitch/planning/show.py
+++ b/rushhitch/planning/show.py
@@ -58,10 +58,10 @@
     return "\n".join([head, *lines])
 
 
-async def show(own: DeploymentSettings, name: str) -> None:
+async def show(deployment: DeploymentSettings, name: str) -> None:
     try:
-        print(table(await fetch(own.planners[name], own.secret)))
+        print(table(await fetch(deployment.planners[name], deployment.secret)))
     except (OSError, TimeoutError, WireError) as error:
         raise DeploymentError(
-            f"planner {name} at {own.planners[name][0]}:{own.planners[name][1]}: {error!r}"
+            f"planner {name} at {deployment.planners[name][0]}:{deployment.planners[name][1]}: {error!r}"
         ) from None
--- a/rushhitch/process.py
+++ b/rushhitch/process.py
@@ -63,9 +63,9 @@
     handler.setFormatter(FieldsFormatter("%(asctime)s %(levelname)s %(message)s"))
     logging.basicConfig(handlers=[handler], level=logging.INFO)
     try:
-        own = read_deployment(os.environ)
-        logging.getLogger("rushhitch").setLevel(own.log.upper())
-        with asyncio.Runner(loop_factory=loop_factory(own.loop)) as runner:
+        deployment = read_deployment(os.environ)
+        logging.getLogger("rushhitch").setLevel(deployment.log.upper())
+        with asyncio.Runner(loop_factory=loop_factory(deployment.loop)) as runner:
             try:
                 runner.run(work())
             finally:
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -125,7 +125,7 @@
         bans, kept = Bans(journal), KeptSettings(journal)
         most_clients, most_connections = shares(configuration)
         self.notices = Notices(configuration.discovery, lambda number: node.notice_heard(number))
-        spoken = codecs(configuration.own)
+        spoken = codecs(configuration.deployment)
         check_classes(configuration)
         settings = in_force(configuration)
         self.node = node = Node(
@@ -135,14 +135,16 @@
             self.notices.add,
             most_connections,
             spoken,
-            configuration.own.events.remember_s if configuration.own.events is not None else 0.0,
+            configuration.deployment.events.remember_s
+            if configuration.deployment.events is not None
+            else 0.0,
             bans,
             kept.history,
         )
         node.ahead_s = ahead_of(journal, time.time(), time.monotonic(), boot_id())
         kept.take(configuration, node)
         self.kept = kept
-        self.handshake = make_handshake(node, configuration.own)
+        self.handshake = make_handshake(node, configuration.deployment)
         node.sinks = make_sinks(configuration)
         self.planners = make_planners(node, configuration) if forward else None
         self.clients = Clients(node, most_clients, int(BEGUN_SHARE * configuration.memory_bytes))
@@ -165,7 +167,7 @@
             operators,
             self.clients,
             lambda: self.watch.version,
-            desk.own(operators),
+            desk.become_owner(operators),
         )
         self.member = make_member(configuration, inheritance.told)
         self.sharing = make_sharing(node, configuration, self.member)
@@ -203,7 +205,7 @@
             self.clients.listen(configuration.listen, Resp2.name, Resp2, listeners.pop(Resp2.name, None))
         except OSError as error:
             raise BadConfiguration(f"ROUTER_LISTEN: {error}") from None
-        if configuration.own.events is not None and configuration.own.events.listen is not None:
+        if configuration.deployment.events is not None and configuration.deployment.events.listen is not None:
             listen_for_events(self.clients, configuration, node.sinks, listeners.pop("cloudevents", None))
         for listener in listeners.values():  # of fronts that are off now
             listener.close()
@@ -366,13 +368,15 @@
     from rushhitch.planning.counts import LaneCounts
 
     node.limits.counts = LaneCounts([cls.worth for cls in configuration.settings.classes])
-    own, name = configuration.own, configuration.name
-    return PlannerClient(name, dict(own.planners), own.secret, node.limits.collect, node.limits.guided)
+    deployment, name = configuration.deployment, configuration.name
+    return PlannerClient(
+        name, dict(deployment.planners), deployment.secret, node.limits.collect, node.limits.guided
+    )
 
 
 def make_member(configuration: Configuration, told: Mapping[str, Any] | None) -> Member | None:
     """This dispatcher among the others; after an upgrade, as the member that the process before it was."""
-    if (set_up := configuration.own.membership) is None:
+    if (set_up := configuration.deployment.membership) is None:
         return None
     from rushhitch.membership.server import Server  # with its library: only where it is on
 
@@ -383,7 +387,7 @@
 
 def make_sharing(node: Node, configuration: Configuration, member: Member | None) -> Sharing | None:
     """This dispatcher's part of the limits that partners state, where members share them."""
-    if (told := configuration.own.sharing) is None or member is None:
+    if (told := configuration.deployment.sharing) is None or member is None:
         return None
     from rushhitch.planning.counts import LaneCounts  # with its library: only where it is on
     from rushhitch.sharing import server
@@ -395,41 +399,43 @@
     return sharing
 
 
-def codecs(own: DeploymentSettings) -> dict[int, Codec]:
+def codecs(deployment: DeploymentSettings) -> dict[int, Codec]:
     """What destinations speak that do not speak the platform's protocol."""
-    if own.events is None or not own.events.partners:
+    if deployment.events is None or not deployment.events.partners:
         return {}
     from rushhitch.partners.cloudevents import CloudEvents  # with its library: only where it is on
 
-    types = {cls: kind for kind, cls in own.events.types.items() if not kind.endswith("*")}
-    later = own.events.acknowledgements
+    types = {cls: kind for kind, cls in deployment.events.types.items() if not kind.endswith("*")}
+    later = deployment.events.acknowledgements
     acknowledging = frozenset(later.sources.values()) if later is not None else frozenset()
     made = {
-        (mode, told): CloudEvents(mode, own.events.source, types, own.events.path, told)
+        (mode, told): CloudEvents(mode, deployment.events.source, types, deployment.events.path, told)
         for mode in MODES
         for told in (False, True)
     }
-    return {number: made[mode, number in acknowledging] for number, mode in own.events.partners.items()}
+    return {
+        number: made[mode, number in acknowledging] for number, mode in deployment.events.partners.items()
+    }
 
 
-def make_handshake(node: Node, own: DeploymentSettings) -> Handshake | None:
+def make_handshake(node: Node, deployment: DeploymentSettings) -> Handshake | None:
     """What asks partners whether they want events, as the gate of the node."""
-    if own.events is None or own.events.handshake is None:
+    if deployment.events is None or deployment.events.handshake is None:
         return None
     from rushhitch.partners.agreements import Agreements  # only where it is on
     from rushhitch.partners.handshake import Handshake
 
-    asking = own.events.handshake
+    asking = deployment.events.handshake
     agreements = Agreements(asking.origin, asking.rate, asking.renew_s * 1000.0)
     seams = (node.endpoints.ask, node.limits.state_limits, node.listing)
-    handshake = Handshake(*seams, agreements, asking.destinations, own.events.path)
+    handshake = Handshake(*seams, agreements, asking.destinations, deployment.events.path)
     node.set_gate(handshake)
     return handshake
 
 
 def make_sinks(configuration: Configuration) -> Sinks | None:
     """Where clients may have ends told."""
-    events = configuration.own.events
+    events = configuration.deployment.events
     if events is None or events.sinks is None:
         return None
     from rushhitch.cloudevents.sinks import Sinks  # with its library: only where it is on
@@ -446,7 +452,7 @@
     from rushhitch.fronts.cloudevents import CloudEvents, front
     from rushhitch.taker import Verdict
 
-    events = configuration.own.events
+    events = configuration.deployment.events
     assert events is not None and events.listen is not None, "asked for only where it is set"
     most_ms = {cls.name: cls.deadline_ms for cls in configuration.settings.classes}
     acks = None
@@ -496,12 +502,12 @@
 def in_force(configuration: Configuration) -> Settings:
     """The settings as the decisions have them."""
     settings = configuration.settings
-    return with_singles(settings) if codecs(configuration.own) else settings
+    return with_singles(settings) if codecs(configuration.deployment) else settings
 
 
 def check_classes(configuration: Configuration) -> None:
     """Guards against settings without a class that `deploy/rushhitch.toml` names."""
-    events = configuration.own.events
+    events = configuration.deployment.events
     if events is None:
         return
     names = {cls.name for cls in configuration.settings.classes}
@@ -573,7 +579,7 @@
         """This process takes over as soon as the one before it is told to end."""
         self.ready, self.known = True, (listed, down)
 
-    def own(self, operators: Operators) -> Callable[[bytes], bytes]:
+    def become_owner(self, operators: Operators) -> Callable[[bytes], bytes]:
         """From now on this process owns all; gives what carries out a word that another was told."""
         self.operators, self.relay = operators, None
         return lambda line: answer(line, self)
--- a/rushhitch/succession/takeover.py
+++ b/rushhitch/succession/takeover.py
@@ -68,7 +68,7 @@
         """The journal; None while another process holds the folder."""
         told = self.configuration
         try:
-            return Journal(told.state, told.disk_bytes, Sync(told.own.sync), lock=lock)
+            return Journal(told.state, told.disk_bytes, Sync(told.deployment.sync), lock=lock)
         except Held as error:
             if told.control is None:  # no upgrades here: a mistake
                 raise BadConfiguration(f"ROUTER_STATE: {error}") from None
--- a/tests/test_unheard_elsewhere.py
+++ b/tests/test_unheard_elsewhere.py
@@ -190,7 +190,7 @@
     def __init__(self, bench, folder):
         self.transfer, operators, self.desk = StateTransfer(bench.node), Operators(bench.node), Desk()
         clients = Clients(bench.node, 16)
-        operate = self.desk.own(operators)
+        operate = self.desk.become_owner(operators)
         self.handover = Handover(folder, self.transfer, operators, clients, lambda: 41, operate)
         self.heard = asyncio.Queue()
         left, self.new, _ = pair(
