--- a/rushhitch/config/deployment.py
+++ b/rushhitch/config/deployment.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Acknowledging:
+class AcknowledgementSettings:
     """`acknowledgements` of `[cloudevents]` (`cloudevents.mapping.Acks`): for whom 202 is not the end."""
 
     sources: Mapping[str, int]  # destination by the source of its acknowledgements
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sinking:
+class SinkSettings:
     """`sinks` of `[cloudevents]` (`cloudevents.sinks.Sinks`): where clients may have ends told."""
 
     destinations: Mapping[str, int]  # by name
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asking:
+class HandshakeSettings:
     """`handshake` of `[cloudevents]`: which of the partners are asked whether they want events
     (`partners.agreements.Agreements`)."""
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Events:
+class CloudEventsSettings:
     """`[cloudevents]`: where the front listens, if it does, and what attributes mean
     (`cloudevents.mapping.Rules`); and which destinations get events (`partners.cloudevents.CloudEvents`)."""
 
@@ -72,13 +72,15 @@
     remember_s: float = 600.0  # past its time an event is known for so long
     source: str = "/rushhitch"  # of messages that did not come in as events
     path: str = "/"  # of the requests to partners
-    handshake: Asking | None = None  # where partners must agree to be sent events
-    sinks: Sinking | None = None  # where clients may have the end of an event told
-    acknowledgements: Acknowledging | None = None  # where some answer 202 first and tell the end later
+    handshake: HandshakeSettings | None = None  # where partners must agree to be sent events
+    sinks: SinkSettings | None = None  # where clients may have the end of an event told
+    acknowledgements: AcknowledgementSettings | None = (
+        None  # where some answer 202 first and tell the end later
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Membership:
+class MembershipSettings:
     """`[membership]`: how this dispatcher is known to the others, and where it finds them."""
 
     name: str  # of this dispatcher in the fleet; "": the platform's name for it
@@ -92,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sharing:
+class SharingSettings:
     """`[sharing]`: limits that partners state are divided among the members, by what each needs."""
 
     floor: float = 0.1  # a share of each, divided by the stated fleet: a process's own, whatever it hears
@@ -110,9 +112,9 @@
     cold_from: float = 0.2  # [planning]: of a partner that returns, as in the dispatchers' settings
     warm_ms: float = 10_000.0
     fall_multiple: float = 2.0
-    events: Events | None = None  # [cloudevents], where it has `listen`
-    membership: Membership | None = None  # [membership], where it has `listen`
-    sharing: Sharing | None = None  # [sharing], where the section is there
+    events: CloudEventsSettings | None = None  # [cloudevents], where it has `listen`
+    membership: MembershipSettings | None = None  # [membership], where it has `listen`
+    sharing: SharingSettings | None = None  # [sharing], where the section is there
 
 
 def read_deployment(environ: Mapping[str, str]) -> DeploymentSettings:
@@ -199,12 +201,12 @@
     return DeploymentSettings(sync, loop, log, **planning, events=events, membership=member, sharing=sharing)
 
 
-def sharing_of(told: dict[str, Any], text: str, name: str) -> Sharing:
-    floor = told.get("floor", Sharing().floor)
+def sharing_of(told: dict[str, Any], text: str, name: str) -> SharingSettings:
+    floor = told.get("floor", SharingSettings().floor)
     if isinstance(floor, bool) or not isinstance(floor, (int, float)) or not 0.01 <= floor <= 0.9:
         place = f"{name}:{line_of(text, 'sharing', 'floor')}"
         raise DeploymentError(f"{place}: floor must be a share from 0.01 to 0.9, not {floor!r}")
-    return Sharing(float(floor))
+    return SharingSettings(float(floor))
 
 
 def choice_of(
@@ -252,7 +254,7 @@
     return found
 
 
-def membership_of(told: dict[str, Any], text: str, name: str) -> Membership | None:
+def membership_of(told: dict[str, Any], text: str, name: str) -> MembershipSettings | None:
     """`[membership]`; None where there is none."""
 
     def fault(key: str, what: str) -> DeploymentError:
@@ -287,7 +289,9 @@
         raise fault("secret_file", what)
     addresses = tuple(seed for seed in found if seed is not None)
     places = (listen, advertise, addresses)
-    return Membership(told.get("name", ""), *places, secret, told.get("building", ""), fleet, float(forget))
+    return MembershipSettings(
+        told.get("name", ""), *places, secret, told.get("building", ""), fleet, float(forget)
+    )
 
 
 def address_of(value: Any) -> tuple[str, int] | None:
@@ -296,7 +300,7 @@
     return (host, int(port)) if colon and host and port.isdecimal() and int(port) <= 65_535 else None
 
 
-def events_of(told: dict[str, Any], text: str, name: str) -> Events | None:
+def events_of(told: dict[str, Any], text: str, name: str) -> CloudEventsSettings | None:
     """`[cloudevents]`; None where there is none. Classes are checked at the start, with the settings."""
 
     def fault(key: str, what: str) -> DeploymentError:
@@ -342,7 +346,7 @@
         raise fault("source", f"source must be a URI reference, not {source!r}")
     if not isinstance(path, str) or not re.fullmatch(r"/[\x21-\x7e]*", path):
         raise fault("path", f"path must begin with / and hold no space, not {path!r}")
-    return Events(
+    return CloudEventsSettings(
         listen,
         types,
         destination,
@@ -360,7 +364,9 @@
     )
 
 
-def sinking_of(told: Any, partners: frozenset[int], fault: Callable[[str, str], DeploymentError]) -> Sinking:
+def sinking_of(
+    told: Any, partners: frozenset[int], fault: Callable[[str, str], DeploymentError]
+) -> SinkSettings:
     """`sinks` of `[cloudevents]`, a table."""
     keys = {"destinations", "class", "attribute", "type"}
     if not isinstance(told, dict) or not keys >= told.keys():
@@ -377,12 +383,12 @@
         raise fault("sinks", f"sinks: attribute must be an attribute's name, not {attribute!r}")
     if not isinstance(kind, str) or not re.fullmatch(r"[\x21-\x7e]+", kind):
         raise fault("sinks", f"sinks: type must be how a type begins, not {kind!r}")
-    return Sinking(named, told["class"], attribute, kind)
+    return SinkSettings(named, told["class"], attribute, kind)
 
 
 def acknowledging_of(
     told: Any, partners: frozenset[int], listens: bool, fault: Callable[[str, str], DeploymentError]
-) -> Acknowledging:
+) -> AcknowledgementSettings:
     """`acknowledgements` of `[cloudevents]`, a table."""
     key = "acknowledgements"
     keys = {"sources", "types", "id", "source"}
@@ -403,10 +409,12 @@
     names = [told.get("id", "causationid"), told.get("source", "causationsource")]
     if not all(isinstance(name, str) and re.fullmatch("[a-z0-9]+", name) for name in names):
         raise fault(key, f"{key}: id and source must be attributes' names, not {names!r}")
-    return Acknowledging(sources, types, *names)
+    return AcknowledgementSettings(sources, types, *names)
 
 
-def asking_of(told: Any, partners: frozenset[int], fault: Callable[[str, str], DeploymentError]) -> Asking:
+def asking_of(
+    told: Any, partners: frozenset[int], fault: Callable[[str, str], DeploymentError]
+) -> HandshakeSettings:
     """`handshake` of `[cloudevents]`, a table."""
     keys = {"origin", "destinations", "rate", "renew_s"}
     if not isinstance(told, dict) or not keys >= told.keys():
@@ -430,7 +438,7 @@
         raise fault("handshake", f"handshake: rate must be requests a minute, a whole number, not {rate!r}")
     if isinstance(renew, bool) or not isinstance(renew, (int, float)) or not 1 <= renew <= 1e6:
         raise fault("handshake", f"handshake: renew_s must be seconds from 1 to 1e6, not {renew!r}")
-    return Asking(origin, frozenset(destinations), rate, float(renew))
+    return HandshakeSettings(origin, frozenset(destinations), rate, float(renew))
 
 
 def line_of(text: str, section: str, key: str = "") -> int:
--- a/rushhitch/membership/server.py
+++ b/rushhitch/membership/server.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from rushhitch.config.deployment import Membership
+from rushhitch.config.deployment import MembershipSettings
 from rushhitch.membership.detector import Detector, Tuning
 from rushhitch.membership.kept import Kept
 from rushhitch.membership.messages import Exchange, Output, Row, Send, Warn
@@ -52,7 +52,7 @@
     """One member. It is a `View` (`rushhitch.membership.view`)."""
 
     def __init__(
-        self, told: Membership, fleet: int, incarnation: int = 0, folder: Path | None = None
+        self, told: MembershipSettings, fleet: int, incarnation: int = 0, folder: Path | None = None
     ) -> None:
         """`fleet` is how many operators run at most; `incarnation` one that an earlier process had, if it is
         known, and `folder` where it is kept, if it is: neither is needed."""
--- a/rushhitch/membership/show.py
+++ b/rushhitch/membership/show.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from rushhitch.config.deployment import DeploymentError, Membership, address_of, read_deployment
+from rushhitch.config.deployment import DeploymentError, MembershipSettings, address_of, read_deployment
 from rushhitch.membership.server import call
 from rushhitch.membership.wire import Role, WireError
 
@@ -82,7 +82,7 @@
         return 0
 
 
-def ask(own: Membership, address: tuple[str, int], role: Role) -> dict[str, Any]:
+def ask(own: MembershipSettings, address: tuple[str, int], role: Role) -> dict[str, Any]:
     try:
         return asyncio.run(fetch(address, own.secret, role))
     except (OSError, TimeoutError, WireError) as error:
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rushhitch.config.deployment import DeploymentError, Membership, parse_deployment
+from rushhitch.config.deployment import DeploymentError, MembershipSettings, parse_deployment
 from rushhitch.membership.messages import Ack, Ask, Ping, Relayed, Row, Send, Vouch
 from rushhitch.membership.server import Server
 from rushhitch.membership.wire import (
@@ -227,7 +227,7 @@
 def test_what_is_dropped_is_told_in_one_line_each_ten_seconds_with_the_count(caplog):
     async def work():
         address = ("127.0.0.1", 7101)
-        server = Server(Membership("a", address, address, (), SECRET), 3)
+        server = Server(MembershipSettings("a", address, address, (), SECRET), 3)
         begun = server.bad_told_at
         for tenth in range(151):
             server.sessions.open(bytes(80), address)
--- a/tests/test_own.py
+++ b/tests/test_own.py
@@ -9,12 +9,12 @@
 from rushhitch.config.deployment import (
     LOOPS,
     SYNCS,
-    Acknowledging,
-    Asking,
+    AcknowledgementSettings,
+    CloudEventsSettings,
     DeploymentError,
     DeploymentSettings,
-    Events,
-    Sinking,
+    HandshakeSettings,
+    SinkSettings,
     parse_deployment,
     read_deployment,
 )
@@ -115,13 +115,13 @@
     told = parse_deployment(
         EVENTS + 'destinations = { "bank-a" = 3 }\nusual_ms = { pay = 800 }\n', "x"
     ).events
-    assert told == Events(
+    assert told == CloudEventsSettings(
         ("127.0.0.1", 8080), {"com.example.paid": "pay"}, "subject", {"bank-a": 3}, {"pay": 800.0}
     )
     told = parse_deployment(
         '[cloudevents]\npartners = { 3 = "batch" }\nsource = "/a"\npath = "/in"\n', "x"
     ).events
-    assert told == Events(partners={3: "batch"}, source="/a", path="/in")
+    assert told == CloudEventsSettings(partners={3: "batch"}, source="/a", path="/in")
 
 
 BOTH = EVENTS + 'partners = { 3 = "binary", 40 = "structured" }\n'
@@ -131,8 +131,8 @@
 
 def test_sinks_and_acknowledgements_are_read():
     told = parse_deployment(BOTH + SINK + ACK, "x").events
-    assert told.sinks == Sinking({"books": 40}, "note")
-    assert told.acknowledgements == Acknowledging({"/bank": 3}, {"org.bank.done": "delivered"})
+    assert told.sinks == SinkSettings({"books": 40}, "note")
+    assert told.acknowledgements == AcknowledgementSettings({"/bank": 3}, {"org.bank.done": "delivered"})
 
 
 @pytest.mark.parametrize(
@@ -176,9 +176,11 @@
     text = '[cloudevents]\npartners = { 3 = "batch", 4 = "binary" }\n'
     assert parse_deployment(text, "x").events.handshake is None
     told = parse_deployment(text + 'handshake = { origin = "a.example" }\n', "x").events.handshake
-    assert told == Asking("a.example", frozenset({3, 4}), 0, 600.0)
+    assert told == HandshakeSettings("a.example", frozenset({3, 4}), 0, 600.0)
     text += 'handshake = { origin = "a.example", destinations = [4], rate = 60, renew_s = 5 }\n'
-    assert parse_deployment(text, "x").events.handshake == Asking("a.example", frozenset({4}), 60, 5.0)
+    assert parse_deployment(text, "x").events.handshake == HandshakeSettings(
+        "a.example", frozenset({4}), 60, 5.0
+    )
 
 
 @pytest.mark.parametrize(
