--- a/rushhitch/control/bans.py
+++ b/rushhitch/control/detached.py
@@ -10,15 +10,15 @@
 
 log = logging.getLogger(__name__)
 
-NAME = "detached"
+DETACHED_FILE = "detached"
 
 
-class Bans:
+class DetachedEndpoints:
     """The set by endpoint id. `add` and `remove` raise `OSError` where the disk does not take it, and then
     nothing changed."""
 
     def __init__(self, journal: Journal) -> None:
-        self.side = Side(journal, NAME)
+        self.side = Side(journal, DETACHED_FILE)
         self.ids: set[str] = set()
         content = self.side.load()
         if content is not None:
@@ -26,7 +26,9 @@
                 told = json.loads(content)
                 self.ids = {str(name) for name in told["ids"]}
             except (ValueError, KeyError, TypeError) as error:
-                log.error("%s makes no sense, and which endpoints are detached is unknown: %r", NAME, error)
+                log.error(
+                    "%s makes no sense, and which endpoints are detached is unknown: %r", DETACHED_FILE, error
+                )
 
     def add(self, endpoint: str) -> None:
         self.store(self.ids | {endpoint})
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -16,7 +16,7 @@
 from crowpier import interface as api
 from crowpier.interface import Outcome, Settings
 from rushhitch.config.history import History
-from rushhitch.control.bans import Bans
+from rushhitch.control.detached import DetachedEndpoints
 from rushhitch.core.acknowledgements import ACKNOWLEDGED, UNKNOWN, Past, effect
 from rushhitch.core.acknowledgements import Effect as Acknowledged
 from rushhitch.core.ended import KEEP_S, MOST, End, Ended
@@ -79,7 +79,7 @@
         connections: int = 256,
         codecs: Mapping[int, Codec] | None = None,
         keep_s: float = KEEP_S,
-        bans: Bans | None = None,
+        bans: DetachedEndpoints | None = None,
         history: History | None = None,
     ) -> None:
         self.settings, self.dispatcher, self.journal, self.notify = settings, dispatcher, journal, notify
--- a/rushhitch/core/operators.py
+++ b/rushhitch/core/operators.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from crowpier import interface as api
-from rushhitch.control.bans import Bans
+from rushhitch.control.detached import DetachedEndpoints
 from rushhitch.control.words import Refused
 from rushhitch.core.node import Node
 
@@ -37,7 +37,7 @@
         self.node.note(api.Attached(endpoint))
         log.info("endpoint %s is given back by operators", endpoint)
 
-    def change_bans(self, endpoint: str, change: Callable[[Bans], None]) -> None:
+    def change_bans(self, endpoint: str, change: Callable[[DetachedEndpoints], None]) -> None:
         bans, listing = self.node.bans, self.node.listing
         assert bans is not None, "there is no control address"
         if not any(endpoint in known for known in (listing.entries, listing.left, bans.ids)):
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -27,7 +27,7 @@
     configuration_of,
     read_configuration,
 )
-from rushhitch.control.bans import Bans
+from rushhitch.control.detached import DetachedEndpoints
 from rushhitch.control.server import MOST_CALLERS, Control
 from rushhitch.control.words import TAKES_ID, BadCommand, Refused, answer, parse
 from rushhitch.core.figures import Figures
@@ -122,7 +122,7 @@
         self.configuration, self.inheritance, self.desk = configuration, inheritance, desk
         self.loop = asyncio.get_running_loop()
         self.journal = journal = inheritance.journal
-        bans, kept = Bans(journal), KeptSettings(journal)
+        bans, kept = DetachedEndpoints(journal), KeptSettings(journal)
         most_clients, most_connections = shares(configuration)
         self.notices = Notices(configuration.discovery, lambda number: node.notice_heard(number))
         spoken = codecs(configuration.deployment)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -11,7 +11,7 @@
 from test_node import OFFER, with_bench
 
 from crowpier.interface import Attached, Detached, Entry, ListKind, Outcome, Remember, Send, State
-from rushhitch.control.bans import NAME, Bans
+from rushhitch.control.detached import DETACHED_FILE, DetachedEndpoints
 from rushhitch.control.words import Refused
 from rushhitch.core.operators import Operators
 from rushhitch.journal import Journal, Sync
@@ -227,10 +227,10 @@
                 operation("nobody")
         bench.node.listing.take({"version": 42, "full": False, "servers": [bench.row | {"state": "DELETED"}]})
         Operators(bench.node).detach("e1")
-        assert Bans(bench.journal).ids == {"e1"}
+        assert DetachedEndpoints(bench.journal).ids == {"e1"}
         bench.node.listing.left.clear()  # long ago
         Operators(bench.node).attach("e1")
-        assert Bans(bench.journal).ids == set()
+        assert DetachedEndpoints(bench.journal).ids == set()
 
 
 def test_a_ban_that_cannot_be_kept_is_refused_and_changes_nothing(tmp_path, monkeypatch):
@@ -257,7 +257,7 @@
         folder = tmp_path / f"with {len(first)}"
         folder.mkdir()
         journal = Journal(folder, 3e6, Sync.BATCH)
-        bans = Bans(journal)
+        bans = DetachedEndpoints(journal)
         for endpoint in first:
             bans.add(endpoint)
         monkeypatch.setattr(journal.files, "sync_folder", fail)
@@ -267,7 +267,7 @@
         used = journal.used
         journal.close()
         again = Journal(folder, 3e6, Sync.BATCH)
-        assert Bans(again).ids == bans.ids == set(first)
+        assert DetachedEndpoints(again).ids == bans.ids == set(first)
         assert again.used == used
         again.close()
 
@@ -312,7 +312,7 @@
         folder.mkdir()
         files = Stopping(folder)
         journal = Journal(folder, 3e6, files=files)
-        bans = Bans(journal)
+        bans = DetachedEndpoints(journal)
         bans.add("e1")
         files.left = stop
         try:
@@ -323,10 +323,10 @@
         files.left = 10**9
         journal.close()
         again = Journal(folder, 3e6)
-        found = Bans(again)
+        found = DetachedEndpoints(again)
         assert found.ids in ({"e1"}, {"e1", "e2"})
         assert not finished or found.ids == {"e1", "e2"}
-        assert not (folder / (NAME + DRAFT)).exists()
+        assert not (folder / (DETACHED_FILE + DRAFT)).exists()
         assert again.used == sum(-(-f.stat().st_size // 512) * 512 for f in folder.iterdir())
         again.close()
         seen.add(tuple(sorted(found.ids)))
@@ -337,9 +337,9 @@
 
 def test_a_damaged_file_of_bans_does_not_keep_the_dispatcher_from_starting(tmp_path, caplog):
     journal = Journal(tmp_path, 3e6)
-    Bans(journal).add("e1")
-    (tmp_path / NAME).write_bytes(b'00000000\n{"ids":["e1"]}')
-    assert Bans(journal).ids == set()
+    DetachedEndpoints(journal).add("e1")
+    (tmp_path / DETACHED_FILE).write_bytes(b'00000000\n{"ids":["e1"]}')
+    assert DetachedEndpoints(journal).ids == set()
     assert "what it held is unknown" in caplog.text
     journal.close()
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -11,7 +11,7 @@
 from crowpier import Dispatcher
 from crowpier.benchlink import settings_of
 from crowpier.interface import Arrived, Listed, ListKind, Remembered, State
-from rushhitch.control.bans import Bans
+from rushhitch.control.detached import DetachedEndpoints
 from rushhitch.core import listing
 from rushhitch.core import node as node_module
 from rushhitch.core.messages import BUSY_MS
@@ -39,7 +39,7 @@
         self.node = Node(
             settings, Dispatcher(settings, 1), self.journal, lambda *end: self.ends.put_nowait(end)
         )
-        self.node.bans = Bans(self.journal)
+        self.node.bans = DetachedEndpoints(self.journal)
         self.row = config["known"]["servers"][0]
         self.node.listing.take(config["known"], cached=True)
         resume(self.node)
--- a/tests/test_unheard_elsewhere.py
+++ b/tests/test_unheard_elsewhere.py
@@ -13,7 +13,7 @@
 from test_succession import pair, until
 
 from rushhitch import discovery
-from rushhitch.control.bans import Bans
+from rushhitch.control.detached import DetachedEndpoints
 from rushhitch.core.operators import Operators
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.discovery import Notices, Platform, Watch
@@ -226,7 +226,7 @@
         old.new.send({"t": "ask", "n": 7, "line": "DETACH e1"})  # sent before the new one heard `yield`
         told, _ = await old.next()
         assert (told["t"], told.get("line")) == ("ask", "DETACH e1"), "it was not passed back to the owner"
-        assert Bans(bench.journal).ids == set(), "a folder was written that is another process's"
+        assert DetachedEndpoints(bench.journal).ids == set(), "a folder was written that is another process's"
         old.new.send({"t": "said", "n": told["n"], "text": "ACK\n"})
         assert (await old.next())[0] == {"t": "said", "n": 7, "text": "ACK\n"}
         old.end(lock)
@@ -251,7 +251,7 @@
         going = loop.create_task(old.handover.hand_over(loop.time() + 1.0))
         await asyncio.sleep(0)
         assert old.desk.answer(b"DETACH e1\n") == b"ACK\n"
-        assert Bans(bench.journal).ids == {"e1"}, "the new process does not find it"
+        assert DetachedEndpoints(bench.journal).ids == {"e1"}, "the new process does not find it"
         frozen.set()
         told, fds = await old.next()
         assert told["t"] == "yield"
