--- a/rushhitch/control/words.py
+++ b/rushhitch/control/commands.py
@@ -17,7 +17,7 @@
     """The line makes no sense; the text says what is wrong and what would do."""
 
 
-class Refused(Exception):
+class CommandRefused(Exception):
     """The command makes sense and is not carried out; the text says why."""
 
 
@@ -30,7 +30,7 @@
 
 
 class Operations(Protocol):
-    """What the address stands for. Each raises `Refused` where the answer is no, and then nothing changed."""
+    """What the address stands for. Each raises `CommandRefused` where the answer is no, and then nothing changed."""
 
     def ping(self) -> None:
         """Whether this process can take a message and deliver it."""
@@ -94,6 +94,6 @@
                 operations.detach(command.id)
             case "ATTACH":
                 operations.attach(command.id)
-    except (BadCommand, Refused) as error:
+    except (BadCommand, CommandRefused) as error:
         return refusal(str(error))
     return YES + b"\n"
--- a/rushhitch/control/server.py
+++ b/rushhitch/control/server.py
@@ -7,7 +7,7 @@
 import socket
 from collections.abc import Callable
 
-from rushhitch.control.words import MOST_LINE, refusal, whole
+from rushhitch.control.commands import MOST_LINE, refusal, whole
 
 log = logging.getLogger(__name__)
 
--- a/rushhitch/core/operators.py
+++ b/rushhitch/core/operators.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from crowpier import interface as api
+from rushhitch.control.commands import CommandRefused
 from rushhitch.control.detached import DetachedEndpoints
-from rushhitch.control.words import Refused
 from rushhitch.core.node import Node
 
 log = logging.getLogger(__name__)
@@ -21,7 +21,7 @@
         self.node = node
 
     def detach(self, endpoint: str) -> None:
-        """Take the endpoint out; raises `Refused` and changes nothing where that cannot be kept. When it
+        """Take the endpoint out; raises `CommandRefused` and changes nothing where that cannot be kept. When it
         returns, no call can start there: the module hears of it in this turn, the sockets know it now."""
         self.change_bans(endpoint, lambda bans: bans.add(endpoint))
         self.node.endpoints.ban(endpoint)
@@ -41,11 +41,11 @@
         bans, listing = self.node.bans, self.node.listing
         assert bans is not None, "there is no control address"
         if not any(endpoint in known for known in (listing.entries, listing.left, bans.ids)):
-            raise Refused(f"no endpoint is called {endpoint}: INFO tells how many there are")
+            raise CommandRefused(f"no endpoint is called {endpoint}: INFO tells how many there are")
         try:
             change(bans)
         except OSError as error:
-            raise Refused(f"the ban, or its end, cannot be kept: {error}") from None
+            raise CommandRefused(f"the ban, or its end, cannot be kept: {error}") from None
 
     def info(self) -> dict[str, Any]:
         """The figures as of now; what was handed over is told by the process that has it."""
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -27,9 +27,9 @@
     configuration_of,
     read_configuration,
 )
+from rushhitch.control.commands import TAKES_ID, BadCommand, CommandRefused, answer, parse
 from rushhitch.control.detached import DetachedEndpoints
 from rushhitch.control.server import MOST_CALLERS, Control
-from rushhitch.control.words import TAKES_ID, BadCommand, Refused, answer, parse
 from rushhitch.core.figures import Figures
 from rushhitch.core.lifecycle import Phase
 from rushhitch.core.listing import with_singles
@@ -601,19 +601,19 @@
 
     def ping(self) -> None:
         if not self.ready:
-            raise Refused("not ready: it takes no messages now")
+            raise CommandRefused("not ready: it takes no messages now")
 
     def info(self) -> dict[str, Any]:
         return Figures().report(0, 0, *self.known) if self.operators is None else self.operators.info()
 
     def detach(self, endpoint: str) -> None:
         if self.operators is None:
-            raise Refused("not ready")
+            raise CommandRefused("not ready")
         self.operators.detach(endpoint)
 
     def attach(self, endpoint: str) -> None:
         if self.operators is None:
-            raise Refused("not ready")
+            raise CommandRefused("not ready")
         self.operators.attach(endpoint)
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from rushhitch.control import server as control_server
+from rushhitch.control.commands import MOST_LINE, CommandRefused, answer
 from rushhitch.control.server import Control
-from rushhitch.control.words import MOST_LINE, Refused, answer
 from rushhitch.core.figures import Figures
 
 
@@ -27,7 +27,7 @@
 
     def detach(self, endpoint):
         if endpoint != "e1":
-            raise Refused(f"no endpoint is called {endpoint}")
+            raise CommandRefused(f"no endpoint is called {endpoint}")
         self.done.append(endpoint)
 
     attach = detach
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -11,8 +11,8 @@
 from test_node import OFFER, with_bench
 
 from crowpier.interface import Attached, Detached, Entry, ListKind, Outcome, Remember, Send, State
+from rushhitch.control.commands import CommandRefused
 from rushhitch.control.detached import DETACHED_FILE, DetachedEndpoints
-from rushhitch.control.words import Refused
 from rushhitch.core.operators import Operators
 from rushhitch.journal import Journal, Sync
 from rushhitch.journal.files import Files
@@ -223,7 +223,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         for operation in (Operators(bench.node).detach, Operators(bench.node).attach):
-            with pytest.raises(Refused, match="no endpoint is called nobody"):
+            with pytest.raises(CommandRefused, match="no endpoint is called nobody"):
                 operation("nobody")
         bench.node.listing.take({"version": 42, "full": False, "servers": [bench.row | {"state": "DELETED"}]})
         Operators(bench.node).detach("e1")
@@ -240,7 +240,7 @@
             raise OSError(errno.ENOSPC, "no space")
 
         monkeypatch.setattr(bench.journal.files, "write", full)
-        with pytest.raises(Refused, match="cannot be kept"):
+        with pytest.raises(CommandRefused, match="cannot be kept"):
             Operators(bench.node).detach("e1")
         monkeypatch.undo()
         assert not bench.node.bans.ids and not bench.node.endpoints.banned
