--- a/rushhitch/config/history.py
+++ b/rushhitch/config/history.py
@@ -20,7 +20,7 @@
     settings: Settings
 
 
-class History:
+class SettingsHistory:
     """Periods in order, the newest last, and the file that brought the newest."""
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
         self.last: dict[str, Any] = {}  # without its settings, which are those of the newest period
 
     @classmethod
-    def read(cls, content: bytes | None) -> History:
+    def decode(cls, content: bytes | None) -> SettingsHistory:
         """What `content` says; an empty history for None. Raises `ValueError` where it makes no sense."""
         history = cls()
         if content is None:
@@ -43,33 +43,33 @@
             raise ValueError(f"the history of settings makes no sense: {error!r}") from None
         return history
 
-    def content(self) -> bytes:
+    def encode(self) -> bytes:
         periods = [(period.since, period.told) for period in self.periods]
         return json.dumps({"last": self.last, "periods": periods}, separators=(",", ":")).encode()
 
-    def file(self) -> dict[str, Any] | None:
+    def newest_file(self) -> dict[str, Any] | None:
         """The last file that made sense; None where none is known."""
         return self.last | {"settings": self.periods[-1].told} if self.periods else None
 
-    def taken(self, told: dict[str, Any], settings: Settings, since: int) -> History:
+    def with_change(self, told: dict[str, Any], settings: Settings, since: int) -> SettingsHistory:
         """This history, and a file that is in force from that message on."""
-        after = History()
+        after = SettingsHistory()
         after.last = {key: value for key, value in told.items() if key != "settings"}
         after.periods = [period for period in self.periods if period.since < since]
         if not after.periods or after.periods[-1].told != told["settings"]:
             after.periods.append(Period(since, told["settings"], settings))
         return after
 
-    def since(self, oldest: int) -> History:
+    def pruned(self, oldest: int) -> SettingsHistory:
         """Without periods of which no message is left: `oldest` is the lowest number of those that are."""
-        after = History()
+        after = SettingsHistory()
         after.last = self.last
         ends = [period.since for period in self.periods[1:]]
         gone = sum(1 for end in ends if end <= oldest)
         after.periods = self.periods[gone:]
         return after
 
-    def terms(self, number: int, cls: str) -> Terms | None:
+    def terms_of(self, number: int, cls: str) -> Terms | None:
         """What the message of that number and class was taken under; None where that is not known."""
         for period in reversed(self.periods):
             if period.since <= number:
@@ -80,7 +80,7 @@
         return None
 
 
-def lacking(new: Any, old: Any, groups: int = 2) -> str:
+def missing_key(new: Any, old: Any, groups: int = 2) -> str:
     """The first key that `old` has and `new` lacks, in so many levels of groups; empty if there is none.
     Guards against a file that was cut short by hand and is whole JSON all the same."""
     for key, value in old.items():
@@ -89,6 +89,6 @@
         if isinstance(value, dict) and groups:
             if not isinstance(new[key], dict):
                 return str(key)
-            if missing := lacking(new[key], value, groups - 1):
+            if missing := missing_key(new[key], value, groups - 1):
                 return f"{key}.{missing}"
     return ""
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -15,7 +15,7 @@
 from crowpier import Dispatcher
 from crowpier import interface as api
 from crowpier.interface import Outcome, Settings
-from rushhitch.config.history import History
+from rushhitch.config.history import SettingsHistory
 from rushhitch.control.detached import DetachedEndpoints
 from rushhitch.core.acknowledgements import ACKNOWLEDGED, UNKNOWN, Past, effect
 from rushhitch.core.acknowledgements import Effect as Acknowledged
@@ -80,7 +80,7 @@
         codecs: Mapping[int, Codec] | None = None,
         keep_s: float = KEEP_S,
         bans: DetachedEndpoints | None = None,
-        history: History | None = None,
+        history: SettingsHistory | None = None,
     ) -> None:
         self.settings, self.dispatcher, self.journal, self.notify = settings, dispatcher, journal, notify
         self.keep_s = keep_s
@@ -97,7 +97,7 @@
         )
         self.classes = {cls.name: position for position, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: position for position, tenant in enumerate(settings.tenants)}
-        self.history = history or History()  # of settings: what messages were taken under
+        self.history = history or SettingsHistory()  # of settings: what messages were taken under
         self.figures = Figures(self.classes)
         self.bans = bans  # endpoints that operators took out
         self.limits = Limits(settings.dispatchers, self.note, dispatcher.held)
@@ -156,7 +156,7 @@
             self.gathering = True
             self.loop.call_later(self.settings.tick_ms / 1000.0, self.turn)
 
-    def reconfigure(self, settings: Settings, history: History) -> None:
+    def reconfigure(self, settings: Settings, history: SettingsHistory) -> None:
         """Take other settings for what comes from now on; `history` tells of them too. Raises `ValueError`
         and changes nothing where they need another process."""
         if settings.kinds != self.settings.kinds or settings.zones != self.settings.zones:
@@ -359,7 +359,7 @@
         """Give the module a message that has had attempts; those that are out are in an earlier process. An
         age that no clock tells counts as one past every window."""
         kept, now = message.kept, self.steady()
-        terms, out = self.history.terms(kept.number, kept.cls), {loan.attempt for loan in loans}
+        terms, out = self.history.terms_of(kept.number, kept.cls), {loan.attempt for loan in loans}
         runs = [where for attempt, where in kept.out.items() if attempt not in out]
         ran = min([*runs, *([kept.ran] if kept.ran else [])], key=itemgetter(1), default=None)
         age = self.steady() - ran[1] if ran else 0.0
@@ -395,7 +395,7 @@
         """Whether messages of its key go one after another."""
         if not kept.key:
             return False
-        if (terms := self.history.terms(kept.number, kept.cls)) is not None:
+        if (terms := self.history.terms_of(kept.number, kept.cls)) is not None:
             return terms.cls.in_order
         return self.settings.classes[self.classes[kept.cls]].in_order
 
--- a/rushhitch/core/resumption.py
+++ b/rushhitch/core/resumption.py
@@ -32,7 +32,7 @@
     in_doubt = set(node.journal.in_doubt)
     for kept in node.journal.messages():  # in the order of taking, which some classes keep
         state = found(kept, node.steady(), in_doubt)
-        if kept.cls not in node.classes and node.history.terms(kept.number, kept.cls) is None:
+        if kept.cls not in node.classes and node.history.terms_of(kept.number, kept.cls) is None:
             if state not in (Found.IN_DOUBT, Found.REMEMBERED, Found.TO_BE_NOTIFIED):
                 state = Found.CLASS_GONE
         node.start_report.add(kept, state)
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -19,7 +19,7 @@
 from crowpier.interface import Outcome, Settings
 from rushhitch import signals
 from rushhitch.config.deployment import MODES, DeploymentSettings
-from rushhitch.config.history import History, lacking
+from rushhitch.config.history import SettingsHistory, missing_key
 from rushhitch.config.platform import (
     BadConfiguration,
     BadFile,
@@ -478,7 +478,7 @@
         changed.clear()
         try:
             new = read_configuration(os.environ)
-            if missing := lacking(new.told, configuration.told):
+            if missing := missing_key(new.told, configuration.told):
                 raise BadConfiguration(f"{missing} is missing, and the settings in force have it")
             check_classes(new)
             history = kept.with_taken(new, node.numbers + 1)
@@ -528,7 +528,7 @@
     except BadFile as error:
         try:
             content = unsealed((Path(environ["ROUTER_STATE"]) / SETTINGS).read_bytes())
-            told = History.read(content).file()
+            told = SettingsHistory.decode(content).newest_file()
             if told is None:
                 raise error
             configuration = configuration_of(told, environ, f"the last good one, in {SETTINGS}")
@@ -544,23 +544,23 @@
     def __init__(self, journal: Journal) -> None:
         self.journal, self.side = journal, Side(journal, SETTINGS)
         try:
-            self.history = History.read(self.side.load())
+            self.history = SettingsHistory.decode(self.side.load())
         except ValueError as error:
             log.error("%s: open messages keep the settings of now", error)
-            self.history = History()
+            self.history = SettingsHistory()
 
-    def with_taken(self, configuration: Configuration, since: int) -> History:
+    def with_taken(self, configuration: Configuration, since: int) -> SettingsHistory:
         oldest = min(self.journal.live, default=since)
-        return self.history.taken(configuration.told, configuration.settings, since).since(oldest)
+        return self.history.with_change(configuration.told, configuration.settings, since).pruned(oldest)
 
     def take(self, configuration: Configuration, node: Node) -> None:
         """At the start: the file's settings hold for what comes."""
         self.keep(self.with_taken(configuration, node.numbers + 1), node)
 
-    def keep(self, history: History, node: Node) -> None:
+    def keep(self, history: SettingsHistory, node: Node) -> None:
         self.history = node.history = history
         try:
-            self.side.store(history.content())
+            self.side.store(history.encode())
         except OSError as error:
             log.error("the settings in force are not kept, a restart goes by the file alone: %s", error)
 
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -34,7 +34,7 @@
     Send,
     Settings,
 )
-from rushhitch.config.history import History, lacking
+from rushhitch.config.history import SettingsHistory, missing_key
 
 
 def classes(**changes):
@@ -88,24 +88,24 @@
         limits = TOLD["policyLimits"] | {"maxAttempts": attempts}
         return TOLD | {"categories": [row], "policyLimits": limits}
 
-    history = History()
+    history = SettingsHistory()
     for since, effect, attempts in ((1, "repeatable", 8), (10, "once", 2), (20, "repeatable", 8)):
         settings = told(effect, attempts)
         made = settings_of(json.dumps(settings).encode())
-        history = history.taken({"settings": settings, "name": "n0"}, made, since)
-    again = History.read(history.content())
+        history = history.with_change({"settings": settings, "name": "n0"}, made, since)
+    again = SettingsHistory.decode(history.encode())
     for number, effect, attempts in ((9, Effect.SAFE, 8), (10, Effect.UNSAFE, 2), (25, Effect.SAFE, 8)):
-        terms = again.terms(number, "n")
+        terms = again.terms_of(number, "n")
         assert (terms.cls.effect, terms.max_attempts) == (effect, attempts)
-    assert again.terms(10, "other") is None
-    assert [period.since for period in again.since(15).periods] == [10, 20]
-    assert again.file()["settings"] == told("repeatable", 8) and again.file()["name"] == "n0"
+    assert again.terms_of(10, "other") is None
+    assert [period.since for period in again.pruned(15).periods] == [10, 20]
+    assert again.newest_file()["settings"] == told("repeatable", 8) and again.newest_file()["name"] == "n0"
 
 
 @given(st.recursive(st.integers(), lambda inner: st.dictionaries(st.text(max_size=3), inner, max_size=3)))
 def test_nothing_is_lacking_in_a_file_beside_itself(value):
     told = {"settings": value}
-    assert lacking(told, told) == ""
+    assert missing_key(told, told) == ""
 
 
 @pytest.mark.parametrize(
@@ -121,7 +121,7 @@
     whole = {"limits": {}, "settings": json.loads(json.dumps(TOLD))}
     short = json.loads(json.dumps(whole))
     cut(short)
-    assert lacking(short, whole) == missing
+    assert missing_key(short, whole) == missing
 
 
 # The program
