--- a/tests/doubles.py
+++ b/tests/doubles.py
@@ -21,11 +21,11 @@
 
 ROOT = Path(__file__).parent.parent
 NOTED_S = 2.0  # an answer is noted within microseconds, on a machine that is not crowded
-PATIENCE_S = 30.0  # generous: reached only where something is broken
+TEST_TIMEOUT_S = 30.0  # generous: reached only where something is broken
 
 
 def run(work: Coroutine) -> None:
-    asyncio.run(asyncio.wait_for(work, PATIENCE_S))
+    asyncio.run(asyncio.wait_for(work, TEST_TIMEOUT_S))
 
 
 @dataclass
@@ -124,7 +124,7 @@
         self.listen, self.sockets, self.disk_mb = "127.0.0.1:0", 1024, 3.0
         self.descriptors: int | None = None  # the system's limit on them, where it has a lower one
 
-    async def surroundings(self) -> Program:
+    async def start_doubles(self) -> Program:
         self.partner, self.platform = await Peer(own_host()).start(), await Peer(own_host()).start()
         self.first_discovery = "{}:{}".format(*self.platform.address)
         return self
@@ -148,7 +148,7 @@
 
     async def start(self) -> None:
         await self.spawn(sys.executable, "-m", "rushhitch")
-        await self.serves()
+        await self.wait_until_ready()
 
     async def spawn(self, *words: str) -> asyncio.subprocess.Process:
         """Start it by that command; it does not serve yet."""
@@ -166,7 +166,7 @@
         )
         return self.process
 
-    async def serves(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Until it is ready."""
         line = await self.log_line(" is ready on ")
         self.port = int(line.split(" is ready on ")[1].split(",")[0].split(":")[1])
@@ -218,12 +218,14 @@
                 return json.loads(request.body.splitlines()[0])
 
 
-def playing(program: Program, started: bool = True) -> Callable[[Callable[[Program], Awaitable[None]]], None]:
+def run_with_program(
+    program: Program, started: bool = True
+) -> Callable[[Callable[[Program], Awaitable[None]]], None]:
     """Runs a test's coroutine with the program and its surroundings, and ends it whatever happens."""
 
     def decorate(test: Callable[[Program], Awaitable[None]]) -> None:
         async def work() -> None:
-            await program.surroundings()
+            await program.start_doubles()
             if started:
                 await program.start()
             try:
--- a/tests/leavers.py
+++ b/tests/leavers.py
@@ -49,8 +49,8 @@
 
     DESTINATIONS = {"note": 7, "pay": 8}
 
-    async def surroundings(self) -> Apart:
-        await super().surroundings()
+    async def start_doubles(self) -> Apart:
+        await super().start_doubles()
         self.second = await asyncio.start_server(self.partner.serve, self.partner.host, 0)
         return self
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from doubles import playing
+from doubles import run_with_program
 from leavers import (
     LONG_LOOK,
     TAKEN,
@@ -110,7 +110,7 @@
     # has closed, and the end of it waits to be read behind the request.
     with_shim(tmp_path, monkeypatch, ONE_EVENT_A_LOOK)
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = [
             RawClient(program, b"m%d" % number, ("note", "pay")[number % 2]) for number in range(LEAVERS)
@@ -132,7 +132,7 @@
     # Guards against the same by a reset, which may be read before the request, behind it, or at the answer.
     with_shim(tmp_path, monkeypatch, ONE_EVENT_A_LOOK)
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = clients_of(program, LEAVERS)
         async with Endpoint(program) as endpoint:
@@ -148,7 +148,7 @@
     # Guards against a half-close taken for a leave behind its back: what it reads holds, whichever it is.
     with_shim(tmp_path, monkeypatch, ONE_EVENT_A_LOOK)
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = clients_of(program, LEAVERS)
         async with Endpoint(program) as endpoint:
@@ -175,7 +175,7 @@
     with Door(moment, lambda client: client.leave(how)) as door:
         with_shim(tmp_path, monkeypatch, door.shim)
 
-        @playing(Roomy(tmp_path))
+        @run_with_program(Roomy(tmp_path))
         async def _(program):
             clients = clients_of(program, LEAVERS)
             door.expect(clients)
@@ -192,7 +192,7 @@
     with Door(moment, lambda client: client.half_close()) as door:
         with_shim(tmp_path, monkeypatch, door.shim)
 
-        @playing(Roomy(tmp_path))
+        @run_with_program(Roomy(tmp_path))
         async def _(program):
             clients = clients_of(program, LEAVERS)
             door.expect(clients)
@@ -214,7 +214,7 @@
     with Door("behind", hear_and_close) as door:
         with_shim(tmp_path, monkeypatch, door.shim)
 
-        @playing(Roomy(tmp_path))
+        @run_with_program(Roomy(tmp_path))
         async def _(program):
             clients = clients_of(program, LEAVERS)
             door.expect(clients)
@@ -239,7 +239,7 @@
 @pytest.mark.parametrize("how", WAYS)
 def test_a_client_that_leaves_1_ms_behind_its_answer_unread_is_not_sent_on_after_that(tmp_path, how):
     # Guards against an answer in the client's system taken for heard: nobody read it.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program) as endpoint:
 
@@ -259,7 +259,7 @@
 @pytest.mark.parametrize("wait_s", [0.0005, 0.002])
 def test_a_half_closed_client_that_leaves_is_not_sent_on_after_that(tmp_path, wait_s):
     # Guards against a half-close that hides the leave behind it: the reset comes when its end was read.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program) as endpoint:
 
@@ -280,7 +280,7 @@
 @pytest.mark.parametrize("wait_s", [0.0, 0.001, 0.01])
 def test_a_client_that_leaves_behind_a_burst_is_not_sent_on_after_that(tmp_path, wait_s):
     # Guards against a loss that is not read while the connection rests between parts of a burst.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program) as endpoint:
 
@@ -303,7 +303,7 @@
     # a third reads what is there before, and is owed an end then.
     chance = random.Random(seed)
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program) as endpoint:
 
@@ -325,7 +325,7 @@
 @pytest.mark.parametrize("wait_s", [0.0, 0.001, 0.05])
 def test_a_client_that_reads_its_answer_and_closes_in_order_is_served(tmp_path, wait_s):
     # Guards against a mend that drops what was heard: worse than the fault.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program) as endpoint:
 
@@ -343,7 +343,7 @@
 
 def test_a_client_that_half_closes_1_ms_behind_its_answer_is_served(tmp_path):
     # Guards against a half-close taken for a leave: it reads its `+OK` a moment later.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program) as endpoint:
 
@@ -367,7 +367,7 @@
     # the last byte is held back; some ask once more before.
     with_shim(tmp_path, monkeypatch, LONG_LOOK.format(seconds=HELD_S))
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = clients_of(program, HELD)
         async with Endpoint(program) as endpoint:
@@ -391,7 +391,7 @@
     # interrupts the wait for events, which then gives none, and timers run before anything is read.
     with_shim(tmp_path, monkeypatch, LONG_LOOK.format(seconds=HELD_S))
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = clients_of(program, HELD)
         async with Endpoint(program) as endpoint:
@@ -409,7 +409,7 @@
 
 def test_a_message_that_waits_for_its_next_call_is_given_back_as_its_client_leaves(tmp_path):
     # Guards against a loss that counts before the first call only.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         def answer(request):
             request.answer(429, X_Come_Back_Ms="700")
@@ -430,7 +430,7 @@
     # Guards against a message that is dropped as unheard: its client was told that an end is owed.
     with_shim(tmp_path, monkeypatch, LONG_LOOK.format(seconds=HELD_S))
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = clients_of(program, HELD)
         async with Endpoint(program) as endpoint:
@@ -450,7 +450,7 @@
     # client closes in order; behind a reset nobody can tell, and the end that was promised is owed.
     with_shim(tmp_path, monkeypatch, LONG_LOOK.format(seconds=HELD_S))
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = clients_of(program, HELD)
         async with Endpoint(program) as endpoint:
@@ -470,7 +470,7 @@
 
 def test_what_a_client_left_unread_is_not_sent_to_an_endpoint_that_comes_up_late(tmp_path):
     # Guards against a call that was decided before the loss, and waits for its connection only.
-    @playing(Roomy(tmp_path), started=False)
+    @run_with_program(Roomy(tmp_path), started=False)
     async def _(program):
         late = LateEndpoint(program.partner.host)
         program.partner.address = late.address
@@ -494,7 +494,7 @@
     # Guards against a loss that takes its fellows along, and against fellows that carry it out.
     with_shim(tmp_path, monkeypatch, LONG_LOOK.format(seconds=HELD_S))
 
-    @playing(Roomy(tmp_path, batch=4))
+    @run_with_program(Roomy(tmp_path, batch=4))
     async def _(program):
         clients = clients_of(program, 4)
         await are_known(clients)
@@ -537,7 +537,7 @@
 @pytest.mark.parametrize("outcomes", [("200", "500"), ("410", "reset"), ("429", "503")])
 def test_a_call_that_is_out_as_its_client_leaves_decides_by_its_outcome(tmp_path, outcomes, cls):
     # Guards against a retry for nobody, and against a notice for what was delivered.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = [RawClient(program, outcome.encode(), cls) for outcome in outcomes]
         out = []
@@ -558,7 +558,7 @@
 
 def test_the_answer_to_a_batch_ends_the_message_of_a_client_that_left_and_no_other(tmp_path):
     # Guards against a retry of the whole batch, and against an end that takes its fellows along.
-    @playing(Roomy(tmp_path, batch=4))
+    @run_with_program(Roomy(tmp_path, batch=4))
     async def _(program):
         out = []
         clients = clients_of(program, 4)
@@ -583,7 +583,7 @@
 
 def test_a_call_that_is_out_as_its_client_leaves_is_not_repeated_by_the_process_after_a_kill(tmp_path):
     # Guards against a repeatable message that goes again since it "may have run": nobody wants it.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = clients_of(program, 2)
         async with Endpoint(program, lambda request: None) as endpoint:
@@ -605,7 +605,7 @@
     # Guards against a stage that dies with the process: its journal says "accepted".
     with_shim(tmp_path, monkeypatch, LONG_LOOK.format(seconds=5.0))
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = clients_of(program, 20)
         async with Endpoint(program) as endpoint:
@@ -628,7 +628,7 @@
     # Guards against the opposite: a client that closes in order takes nothing back.
     with_shim(tmp_path, monkeypatch, LONG_LOOK.format(seconds=5.0))
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = clients_of(program, 20)
         async with Endpoint(program) as endpoint:
@@ -647,7 +647,7 @@
     # Guards against a stage that is written down later: the kill comes in the step behind the loss.
     with_shim(tmp_path, monkeypatch, KILL_BEHIND_LOSS)
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = clients_of(program, 20)
         async with Endpoint(program) as endpoint:
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -4,7 +4,7 @@
 import json
 
 import pytest
-from doubles import WORTH, Program, playing, run
+from doubles import WORTH, Program, run, run_with_program
 from test_benchlink import TOLD
 
 from crowpier import Dispatcher
@@ -33,7 +33,7 @@
 
 
 def with_customer(folder, batch=1):
-    return playing(Customer(folder, batch))
+    return run_with_program(Customer(folder, batch))
 
 
 def test_the_key_of_repeats_goes_to_the_endpoint_as_the_client_gave_it(tmp_path):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -145,7 +145,7 @@
         monkeypatch.setenv("RUSHHITCH_TOML", str(tmp_path / "own.toml"))
 
     async def work():
-        program = await kind(tmp_path).surroundings()
+        program = await kind(tmp_path).start_doubles()
         program.descriptors, program.sockets, program.disk_mb = descriptors, sockets, 0.3
         await program.start()
         program.listen = f"127.0.0.1:{program.port}"
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -9,7 +9,7 @@
 
 import pytest
 from bed import Bed
-from doubles import PATIENCE_S, ROOT, UNSAFE, WORTH, Program, playing, run
+from doubles import ROOT, TEST_TIMEOUT_S, UNSAFE, WORTH, Program, run, run_with_program
 from test_benchlink import TOLD
 from test_endpoints import Caller
 
@@ -56,7 +56,7 @@
 
 
 def with_program(folder, program=Program):
-    return playing(program(folder), started=False)
+    return run_with_program(program(folder), started=False)
 
 
 class Elsewhere(Program):
@@ -98,7 +98,7 @@
 
 
 PATIENT = f"""import rushhitch.discovery as discovery
-discovery.NOTICE_S = {PATIENCE_S}
+discovery.NOTICE_S = {TEST_TIMEOUT_S}
 """
 
 
@@ -150,7 +150,7 @@
                     request.answer(204)
 
         tasks = [asyncio.create_task(answer()), asyncio.create_task(hear())]
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while program.journal().live:
                 await asyncio.sleep(0.02)
         for task in tasks:
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -4,7 +4,7 @@
 import itertools
 
 import pytest
-from doubles import playing
+from doubles import run_with_program
 from leavers import TAKEN, Apart, Copying, Endpoint, RawClient, Roomy, are_known, hand_in_together, ids_of
 
 LEFT_MS = 4000
@@ -22,7 +22,7 @@
 
 def test_what_an_endpoint_calls_over_by_410_is_called_once(tmp_path):
     # Guards against "whether it is over is known here, not there": called again until its time is up.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         clients = [RawClient(program, name, name.decode()[:4].strip("-")) for name in (b"note", b"pay-")]
         async with Endpoint(program, lambda request: request.answer(410)) as endpoint:
@@ -37,7 +37,7 @@
     # Guards against the same by `expired`, and against an end that takes its fellows along.
     first = {b"m0": b"accepted", b"m1": b"expired", b"m2": b"deferred", b"m3": b"expired"}
 
-    @playing(Roomy(tmp_path, batch=4))
+    @run_with_program(Roomy(tmp_path, batch=4))
     async def _(program):
         batches = []
 
@@ -104,7 +104,7 @@
 )
 def test_an_answer_that_no_further_call_can_better_is_the_last(tmp_path, batch, answer):
     # Guards against retries of what is over (410, expired) or has had all its attempts (504, no_more).
-    @playing(Roomy(tmp_path, batch))
+    @run_with_program(Roomy(tmp_path, batch))
     async def _(program):
         async with Endpoint(program, answer) as endpoint:
             await all_in_one_tick(program, both(program))
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize("status", [400, 413])
 def test_a_batch_that_is_not_taken_has_not_run_and_is_tried_again(tmp_path, status):
     # Guards against an unsafe message that is given up as "may have run" though its call was not taken.
-    @playing(Roomy(tmp_path, batch=4))
+    @run_with_program(Roomy(tmp_path, batch=4))
     async def _(program):
         def answer(request):
             if len(ids_of(request)) > 1 and len(endpoint.calls) == 1:
@@ -136,7 +136,7 @@
 @pytest.mark.parametrize("status", [400, 413])
 def test_an_endpoint_that_takes_no_batch_at_all_still_has_its_messages_tried_and_ended(tmp_path, status):
     # Guards against "may have run" by an endpoint that answers each batch so: none of it ran, ever.
-    @playing(Roomy(tmp_path, batch=4))
+    @run_with_program(Roomy(tmp_path, batch=4))
     async def _(program):
         def answer(request):
             if len(ids_of(request)) > 1:
@@ -167,7 +167,7 @@
 )
 def test_what_was_turned_away_never_ran_and_is_tried_again(tmp_path, answer, wait_s):
     # Guards against an unsafe message that is given up though no call of it was taken, and a wait not kept.
-    @playing(Apart(tmp_path))
+    @run_with_program(Apart(tmp_path))
     async def _(program):
         async with Endpoint(program, answer) as endpoint:
             await all_in_one_tick(program, apart(program))
@@ -182,7 +182,7 @@
 @pytest.mark.parametrize("status", [500, 204, 302, 404, 418, 599])
 def test_what_may_have_run_is_called_once_where_it_may_not_be_repeated(tmp_path, status):
     # Guards against a status on no row of the page that is taken for "never ran".
-    @playing(Apart(tmp_path))
+    @run_with_program(Apart(tmp_path))
     async def _(program):
         async with Endpoint(program, answering(status)) as endpoint:
             await all_in_one_tick(program, apart(program))
@@ -196,7 +196,7 @@
 
 def test_an_earlier_copy_that_may_have_run_makes_410_an_end_as_failed(tmp_path):
     # Guards against "never ran" told of a message by the answer to one of its calls: the one before was cut.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         def answer(request):
             if len(endpoint.calls) == 1:
@@ -215,7 +215,7 @@
 @pytest.mark.parametrize("outcome", [200, 500])
 def test_410_while_another_copy_is_out_is_the_last_call(tmp_path, outcome):
     # Guards against a further copy, and against "never ran" told while one may be running.
-    @playing(Copying(tmp_path))
+    @run_with_program(Copying(tmp_path))
     async def _(program):
         out = []
 
@@ -240,7 +240,7 @@
 
 def test_410_while_the_copy_of_an_earlier_process_may_run_is_the_last_call(tmp_path):
     # Guards against the same where the other copy is out: a kill left it at the endpoint.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program, lambda request: None) as endpoint:
             await all_in_one_tick(program, [RawClient(program, b"note")])
@@ -256,7 +256,7 @@
 
 def test_what_410_ended_is_not_called_by_the_process_after_a_kill(tmp_path):
     # Guards against an end that is told and not written down; the platform has no time for it just then.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program, answering(410)) as endpoint:
             clients = both(program)
--- a/tests/test_heard_or_over.py
+++ b/tests/test_heard_or_over.py
@@ -3,7 +3,7 @@
 import asyncio
 import signal
 
-from doubles import playing
+from doubles import run_with_program
 from leavers import LONG_LOOK, TAKEN, Endpoint, RawClient, Roomy, ids_of, standing_still, with_shim, words
 from test_client_gone import ONE_EVENT_A_LOOK
 from test_succession import with_pair
@@ -17,7 +17,7 @@
 def test_an_id_that_is_sent_once_more_behind_its_delivery_does_not_run_again(tmp_path):
     # Guards against an end that is remembered where the message was abandoned alone: this one was delivered
     # before its client's connection broke under the request, and the client sends the same once more.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program) as endpoint:
             first = RawClient(program, b"m0", "pay")
@@ -34,7 +34,7 @@
 
 def test_an_id_that_is_sent_once_more_behind_an_end_as_failed_does_not_run_again(tmp_path):
     # Guards against the same where its only attempt may have run and it was failed.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program, lambda request: request.answer(500)) as endpoint:
             first = RawClient(program, b"m0", "pay")
@@ -54,7 +54,7 @@
     # Guards against a second `+OK` that counts as heard once it is written: neither client read its own.
     with_shim(tmp_path, monkeypatch, LONG_LOOK.format(seconds=HELD_S))
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program) as endpoint:
             clients = [RawClient(program, b"m0"), RawClient(program, b"m0")]
@@ -75,7 +75,7 @@
     # has read nothing, and with no further request it has 10 ms for the second.
     with_shim(tmp_path, monkeypatch, LONG_LOOK.format(seconds=HELD_S))
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program) as endpoint:
             client = RawClient(program, b"m0")
@@ -101,7 +101,7 @@
     # not one byte of it.
     with_shim(tmp_path, monkeypatch, UNCONFIRMED + LONG_LOOK.format(seconds=0.7))
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program) as endpoint:
             client = RawClient(program, b"m0")
@@ -113,7 +113,7 @@
 
 def test_a_spoilt_answer_with_410_in_its_first_line_is_the_last(tmp_path):
     # Guards against a further call for what an endpoint called over, since the rest of its answer never came.
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         def answer(request):
             ids_of(request)
@@ -133,7 +133,7 @@
     # by a timer, with the reset waiting in its socket.
     with_shim(tmp_path, monkeypatch, LONG_LOOK.format(seconds=0.8))
 
-    @playing(Roomy(tmp_path))
+    @run_with_program(Roomy(tmp_path))
     async def _(program):
         async with Endpoint(program) as endpoint:
             client = RawClient(program, b"m0")
@@ -151,7 +151,7 @@
 def test_what_a_batch_accepts_is_over_whatever_time_its_fellow_has_left(tmp_path):
     # Guards against a further call for what a whole answer calls accepted, since another message of the call
     # has less than 0.1 s left.
-    @playing(Roomy(tmp_path, batch=4))
+    @run_with_program(Roomy(tmp_path, batch=4))
     async def _(program):
         out = []
 
@@ -203,7 +203,7 @@
     # Guards against a call that is completed behind the endpoint's word that the message is over.
     with_shim(tmp_path, monkeypatch, LONG_LOOK.format(seconds=HELD_S))
 
-    @playing(Roomy(tmp_path), started=False)
+    @run_with_program(Roomy(tmp_path), started=False)
     async def _(program):
         came = bytearray()
 
--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -234,7 +234,7 @@
 
 def test_a_first_start_without_a_good_file_ends_with_code_2(tmp_path):
     async def work():
-        program = await Pair(tmp_path).surroundings()
+        program = await Pair(tmp_path).start_doubles()
         (tmp_path / "config.json").write_text("{")
         process = await program.spawn()
         _, error = await process.communicate()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -11,13 +11,13 @@
 from datetime import datetime
 
 import pytest
-from doubles import ROOT, Peer, Program, playing
+from doubles import ROOT, Peer, Program, run_with_program
 
 from rushhitch.process import Throttle
 
 
 def with_program(tmp_path, batch=1):
-    return playing(Program(tmp_path, batch))
+    return run_with_program(Program(tmp_path, batch))
 
 
 def logged_at(line):
@@ -314,7 +314,7 @@
 )
 def test_a_bad_configuration_ends_the_start_with_one_line(tmp_path, spoil, says):
     async def work():
-        return (await Program(tmp_path).surroundings()).config()
+        return (await Program(tmp_path).start_doubles()).config()
 
     told = asyncio.run(work())
     spoil(told)
@@ -326,7 +326,7 @@
 
 def test_an_address_that_is_taken_ends_the_start_with_one_line(tmp_path):
     async def work():
-        return (await Program(tmp_path).surroundings()).config()
+        return (await Program(tmp_path).start_doubles()).config()
 
     told = asyncio.run(work())
     with socket.create_server(("127.0.0.1", 0)) as taken:
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -6,7 +6,7 @@
 import signal
 
 import pytest
-from doubles import ROOT, Program, playing, run
+from doubles import ROOT, Program, run, run_with_program
 from test_endpoints import Caller
 from test_node import OFFER, with_bench
 
@@ -101,7 +101,7 @@
         folder.mkdir()
         with_shim(folder, monkeypatch, KILL_BEHIND_ANSWER.format(nth=nth))
 
-        @playing(Program(folder), started=False)
+        @run_with_program(Program(folder), started=False)
         async def _(program, folder=folder, nth=nth):
             await program.start()
             clients = [await program.client() for _ in range(CLIENTS)]
@@ -118,7 +118,7 @@
 
 
 def test_a_client_that_ends_its_sending_after_its_request_gets_an_answer(tmp_path):
-    @playing(Program(tmp_path))
+    @run_with_program(Program(tmp_path))
     async def _(program):
         clients = [await program.client() for _ in range(CLIENTS)]
         await all_at_once(program, clients)
@@ -133,7 +133,7 @@
 def test_a_request_that_comes_whole_in_the_last_moment_before_the_exit_gets_an_answer(tmp_path):
     # Each client sends half a request before its connection could be closed between requests, and the rest
     # at its own moment around the exit. A reset tells it that its request was not read; an end does not.
-    @playing(Program(tmp_path))
+    @run_with_program(Program(tmp_path))
     async def _(program):
         clients = [await program.client() for _ in range(60)]
         head = b"*5\r\n$7\r\nOUT.ADD\r\n$2\r\n00\r\n"
@@ -158,7 +158,7 @@
 
 
 def test_requests_that_come_together_on_a_connection_that_finishes_all_get_their_answers(tmp_path):
-    @playing(Program(tmp_path))
+    @run_with_program(Program(tmp_path))
     async def _(program):
         client, other = await program.client(), await program.client()
         assert await client.ask(b"PING") == b"+PONG\r\n"
--- a/tests/test_signals_at_start.py
+++ b/tests/test_signals_at_start.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from doubles import ROOT, Program, playing
+from doubles import ROOT, Program, run_with_program
 from test_request_lifecycle import sent_within
 
 from lab.processes import send_signal
@@ -31,13 +31,13 @@
     async def one(at):
         folder = tmp_path / f"{at}"
         folder.mkdir()
-        program = await Program(folder).surroundings()
+        program = await Program(folder).start_doubles()
         process = await program.spawn("/bin/sh", "-c", command())
         try:
             await runs(process)
             await asyncio.sleep(at)
             send_signal(process, signal.SIGHUP)
-            await program.serves()
+            await program.wait_until_ready()
         finally:
             if process.returncode is None:
                 await program.kill()
@@ -51,14 +51,14 @@
 
 def test_a_configuration_that_changes_during_the_start_is_in_force_afterwards(tmp_path):
     # The signal comes as soon as the file has been read the first time: whatever it read, the new one counts.
-    @playing(Program(tmp_path), started=False)
+    @run_with_program(Program(tmp_path), started=False)
     async def _(program):
         for at in (0.1, 0.15, 0.2, 0.25, 0.3, 0.35):
             process = await program.spawn("/bin/sh", "-c", command())
             await asyncio.sleep(at)
             new = await program.move_discovery()
             send_signal(process, signal.SIGHUP)
-            await program.serves()
+            await program.wait_until_ready()
             watch = await asyncio.wait_for(new.next(), 10.0)
             assert watch.target.startswith("/discovery/hosts")
             await program.kill()
@@ -75,7 +75,7 @@
 )
 def test_a_process_that_is_told_to_end_as_it_starts_leaves_what_it_found(tmp_path, series):
     # The message waits for a partner that is not there; each start in between is told to end at its moment.
-    @playing(Program(tmp_path), started=False)
+    @run_with_program(Program(tmp_path), started=False)
     async def _(program):
         program.partner.stop()
         await program.start()
--- a/tests/test_stopped.py
+++ b/tests/test_stopped.py
@@ -4,12 +4,12 @@
 import signal
 
 import pytest
-from doubles import Program, playing
+from doubles import Program, run_with_program
 
 
 @pytest.mark.parametrize("round_", range(5))
 def test_requests_whose_clients_gave_up_while_the_process_stood_still_are_not_sent(tmp_path, round_):
-    @playing(Program(tmp_path))
+    @run_with_program(Program(tmp_path))
     async def _(program):
         kept = [await program.client() for _ in range(20)]  # connections that are up
         warm = await program.client()
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -208,10 +208,10 @@
     def config(self):
         return super().config() | {"listen": self.listen, "control": "127.0.0.1:0"}
 
-    async def surroundings(self):
+    async def start_doubles(self):
         self.host, port = free_address()
         self.listen = f"{self.host}:{port}"
-        return await super().surroundings()
+        return await super().start_doubles()
 
     async def start(self):
         path = self.folder / "config.json"
@@ -268,7 +268,7 @@
 def with_pair(folder, batch=1):
     def decorate(test):
         async def work():
-            program = await Pair(folder, batch).surroundings()
+            program = await Pair(folder, batch).start_doubles()
             await program.start()
             try:
                 await test(program)
--- a/tests/test_succession_kills.py
+++ b/tests/test_succession_kills.py
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("killed, word", [("old", w) for w in OLD] + [("new", w) for w in NEW])
 def test_a_kill_at_a_step_loses_nothing_and_repeats_nothing_unsafe(killed, word, tmp_path):
     async def work():
-        pair = await Pair(tmp_path).surroundings()
+        pair = await Pair(tmp_path).start_doubles()
         await pair.start()
         calls, notices = [], []
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -3,7 +3,7 @@
 import time
 
 import pytest
-from doubles import ROOT, Program, playing
+from doubles import ROOT, Program, run_with_program
 
 STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
 LEFT_MS = 6000
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_a_step_while_the_process_is_down_moves_no_deadline(stepped, step_s):
-    @playing(Program(stepped), started=False)
+    @run_with_program(Program(stepped), started=False)
     async def _(program):
         await program.start()
         due = await handed_in(program, 500)
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_a_step_while_the_process_runs_moves_no_end(stepped, step_s):
-    @playing(Program(stepped), started=False)
+    @run_with_program(Program(stepped), started=False)
     async def _(program):
         await program.start()
         client = await program.client()
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_what_is_held_over_a_step_and_a_restart_has_its_end_in_time(stepped, step_s):
-    @playing(Program(stepped), started=False)
+    @run_with_program(Program(stepped), started=False)
     async def _(program):
         await program.start()
         due = await handed_in(program, 500)
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -104,7 +104,7 @@
 async def restarted(folder, end, gap_s, names, apart_s, window_ms=WINDOW_S * 1000.0):
     """Messages so far apart, each with one call out at the end of its process; all that came of them."""
     folder.mkdir()
-    program, seen, answers = await Harbour(folder).surroundings(), Seen(), asyncio.Event()
+    program, seen, answers = await Harbour(folder).start_doubles(), Seen(), asyncio.Event()
     program.window_ms = window_ms
     hearing = asyncio.create_task(seen.hear(program, answers))
     try:
@@ -165,7 +165,7 @@
     monkeypatch.setenv("RUSHHITCH_TOML", str(tmp_path / "own.toml"))
 
     async def work():
-        program, unreached = await Harbour(tmp_path).surroundings(), Unreached()
+        program, unreached = await Harbour(tmp_path).start_doubles(), Unreached()
         program.window_ms = window_s * 1000.0
         try:
             await program.start()
@@ -219,7 +219,7 @@
     monkeypatch.setenv("PYTHONPATH", str(tmp_path))
 
     async def work():
-        program = await Harbour(tmp_path).surroundings()
+        program = await Harbour(tmp_path).start_doubles()
         program.window_ms = 2500.0
         try:
             monkeypatch.setenv("STEP_S", "0")
