--- a/rushhitch/core/operator_commands.py
+++ b/rushhitch/core/operator_commands.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from crowpier import interface as api
-from rushhitch.control.bans import Bans
-from rushhitch.control.words import Refused
+from rushhitch.control.commands import CommandRefused
+from rushhitch.control.detached import DetachedEndpoints
 from rushhitch.core.node import Node
 
 log = logging.getLogger(__name__)
@@ -21,7 +21,7 @@
         self.node = node
 
     def detach(self, endpoint: str) -> None:
-        """Take the endpoint out; raises `Refused` and changes nothing where that cannot be kept. When it
+        """Take the endpoint out; raises `CommandRefused` and changes nothing where that cannot be kept. When it
         returns, no call can start there: the module hears of it in this turn, the sockets know it now."""
         self.change_bans(endpoint, lambda bans: bans.add(endpoint))
         self.node.endpoints.ban(endpoint)
@@ -37,15 +37,15 @@
         self.node.note(api.Attached(endpoint))
         log.info("endpoint %s is given back by operators", endpoint)
 
-    def change_bans(self, endpoint: str, change: Callable[[Bans], None]) -> None:
+    def change_bans(self, endpoint: str, change: Callable[[DetachedEndpoints], None]) -> None:
         bans, registry = self.node.bans, self.node.registry
         assert bans is not None, "there is no control address"
         if not any(endpoint in known for known in (registry.entries, registry.left, bans.ids)):
-            raise Refused(f"no endpoint is called {endpoint}: INFO tells how many there are")
+            raise CommandRefused(f"no endpoint is called {endpoint}: INFO tells how many there are")
         try:
             change(bans)
         except OSError as error:
-            raise Refused(f"the ban, or its end, cannot be kept: {error}") from None
+            raise CommandRefused(f"the ban, or its end, cannot be kept: {error}") from None
 
     def info(self) -> dict[str, Any]:
         """The figures as of now; what was handed over is told by the process that has it."""
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -18,8 +18,8 @@
 from crowpier import Dispatcher
 from crowpier.interface import Outcome, Settings
 from rushhitch import signals
-from rushhitch.config.history import History, lacking
-from rushhitch.config.own import MODES, Own
+from rushhitch.config.deployment import MODES, DeploymentSettings
+from rushhitch.config.history import SettingsHistory, missing_key
 from rushhitch.config.platform import (
     BadConfiguration,
     BadFile,
@@ -27,9 +27,9 @@
     configuration_of,
     read_configuration,
 )
-from rushhitch.control.bans import Bans
+from rushhitch.control.commands import TAKES_ID, BadCommand, CommandRefused, answer, parse
+from rushhitch.control.detached import DetachedEndpoints
 from rushhitch.control.server import MOST_CALLERS, Control
-from rushhitch.control.words import TAKES_ID, BadCommand, Refused, answer, parse
 from rushhitch.core.endpoint_registry import with_unbatched_kinds
 from rushhitch.core.lifecycle import Phase
 from rushhitch.core.messages import InheritedAttempt
@@ -122,10 +122,10 @@
         self.configuration, self.inheritance, self.desk = configuration, inheritance, desk
         self.loop = asyncio.get_running_loop()
         self.journal = journal = inheritance.journal
-        bans, kept = Bans(journal), KeptSettings(journal)
+        bans, kept = DetachedEndpoints(journal), KeptSettings(journal)
         most_clients, most_connections = shares(configuration)
         self.notices = NoticeSender(configuration.discovery, lambda number: node.notice_heard(number))
-        spoken = codecs(configuration.own)
+        spoken = codecs(configuration.deployment)
         check_classes(configuration)
         settings = in_force(configuration)
         self.node = node = Node(
@@ -135,14 +135,16 @@
             self.notices.add,
             most_connections,
             spoken,
-            configuration.own.events.remember_s if configuration.own.events is not None else 0.0,
+            configuration.deployment.events.remember_s
+            if configuration.deployment.events is not None
+            else 0.0,
             bans,
             kept.history,
         )
         node.ahead_s = steady_clock_offset_s(journal, time.time(), time.monotonic(), boot_id())
         kept.take(configuration, node)
         self.kept = kept
-        self.handshake = make_handshake(node, configuration.own)
+        self.handshake = make_handshake(node, configuration.deployment)
         node.sinks = make_sinks(configuration)
         self.planners = make_planners(node, configuration) if forward else None
         self.clients = ConnectionManager(node, most_clients, int(BEGUN_SHARE * configuration.memory_bytes))
@@ -165,7 +167,7 @@
             operators,
             self.clients,
             lambda: self.watch.version,
-            desk.own(operators),
+            desk.become_owner(operators),
         )
         self.member = make_member(configuration, inheritance.told)
         self.sharing = make_sharing(node, configuration, self.member)
@@ -210,7 +212,7 @@
             )
         except OSError as error:
             raise BadConfiguration(f"ROUTER_LISTEN: {error}") from None
-        if configuration.own.events is not None and configuration.own.events.listen is not None:
+        if configuration.deployment.events is not None and configuration.deployment.events.listen is not None:
             listen_for_events(self.clients, configuration, node.sinks, listeners.pop("cloudevents", None))
         for listener in listeners.values():  # of fronts that are off now
             listener.close()
@@ -377,15 +379,15 @@
     from rushhitch.planning.counts import LaneCounts
 
     node.limits.counts = LaneCounts([cls.worth for cls in configuration.settings.classes])
-    own, name = configuration.own, configuration.name
+    deployment, name = configuration.deployment, configuration.name
     return PlannerClient(
-        name, dict(own.planners), own.secret, node.limits.collect, node.limits.apply_allowance
+        name, dict(deployment.planners), deployment.secret, node.limits.collect, node.limits.apply_allowance
     )
 
 
 def make_member(configuration: Configuration, told: Mapping[str, Any] | None) -> Member | None:
     """This dispatcher among the others; after an upgrade, as the member that the process before it was."""
-    if (set_up := configuration.own.membership) is None:
+    if (set_up := configuration.deployment.membership) is None:
         return None
     from rushhitch.membership.server import Server  # with its library: only where it is on
 
@@ -396,7 +398,7 @@
 
 def make_sharing(node: Node, configuration: Configuration, member: Member | None) -> Sharing | None:
     """This dispatcher's part of the limits that partners state, where members share them."""
-    if (told := configuration.own.sharing) is None or member is None:
+    if (told := configuration.deployment.sharing) is None or member is None:
         return None
     from rushhitch.planning.counts import LaneCounts  # with its library: only where it is on
     from rushhitch.sharing import server
@@ -408,41 +410,43 @@
     return sharing
 
 
-def codecs(own: Own) -> dict[int, Codec]:
+def codecs(deployment: DeploymentSettings) -> dict[int, Codec]:
     """What destinations speak that do not speak the platform's protocol."""
-    if own.events is None or not own.events.partners:
+    if deployment.events is None or not deployment.events.partners:
         return {}
     from rushhitch.partners.cloudevents import CloudEvents  # with its library: only where it is on
 
-    types = {cls: kind for kind, cls in own.events.types.items() if not kind.endswith("*")}
-    later = own.events.acknowledgements
+    types = {cls: kind for kind, cls in deployment.events.types.items() if not kind.endswith("*")}
+    later = deployment.events.acknowledgements
     acknowledging = frozenset(later.sources.values()) if later is not None else frozenset()
     made = {
-        (mode, told): CloudEvents(mode, own.events.source, types, own.events.path, told)
+        (mode, told): CloudEvents(mode, deployment.events.source, types, deployment.events.path, told)
         for mode in MODES
         for told in (False, True)
     }
-    return {number: made[mode, number in acknowledging] for number, mode in own.events.partners.items()}
+    return {
+        number: made[mode, number in acknowledging] for number, mode in deployment.events.partners.items()
+    }
 
 
-def make_handshake(node: Node, own: Own) -> Handshake | None:
+def make_handshake(node: Node, deployment: DeploymentSettings) -> Handshake | None:
     """What asks partners whether they want events, as the gate of the node."""
-    if own.events is None or own.events.handshake is None:
+    if deployment.events is None or deployment.events.handshake is None:
         return None
     from rushhitch.partners.agreements import Agreements  # only where it is on
     from rushhitch.partners.handshake import Handshake
 
-    asking = own.events.handshake
+    asking = deployment.events.handshake
     agreements = Agreements(asking.origin, asking.rate, asking.renew_s * 1000.0)
     seams = (node.endpoints.ask, node.limits.set_stated_limits, node.registry)
-    handshake = Handshake(*seams, agreements, asking.destinations, own.events.path)
+    handshake = Handshake(*seams, agreements, asking.destinations, deployment.events.path)
     node.set_gate(handshake)
     return handshake
 
 
 def make_sinks(configuration: Configuration) -> Sinks | None:
     """Where clients may have ends told."""
-    events = configuration.own.events
+    events = configuration.deployment.events
     if events is None or events.sinks is None:
         return None
     from rushhitch.cloudevents.sinks import Sinks  # with its library: only where it is on
@@ -462,7 +466,7 @@
     from rushhitch.cloudevents.mapping import Acks, Rules  # with its library: only where it is on
     from rushhitch.fronts.cloudevents import CloudEventsConnection, front
 
-    events = configuration.own.events
+    events = configuration.deployment.events
     assert events is not None and events.listen is not None, "asked for only where it is set"
     most_ms = {cls.name: cls.deadline_ms for cls in configuration.settings.classes}
     acks = None
@@ -492,7 +496,7 @@
         changed.clear()
         try:
             new = read_configuration(os.environ)
-            if missing := lacking(new.told, configuration.told):
+            if missing := missing_key(new.told, configuration.told):
                 raise BadConfiguration(f"{missing} is missing, and the settings in force have it")
             check_classes(new)
             history = kept.with_taken(new, node.numbers + 1)
@@ -516,12 +520,12 @@
 def in_force(configuration: Configuration) -> Settings:
     """The settings as the decisions have them."""
     settings = configuration.settings
-    return with_unbatched_kinds(settings) if codecs(configuration.own) else settings
+    return with_unbatched_kinds(settings) if codecs(configuration.deployment) else settings
 
 
 def check_classes(configuration: Configuration) -> None:
     """Guards against settings without a class that `deploy/rushhitch.toml` names."""
-    events = configuration.own.events
+    events = configuration.deployment.events
     if events is None:
         return
     names = {cls.name for cls in configuration.settings.classes}
@@ -542,7 +546,7 @@
     except BadFile as error:
         try:
             content = verified_content((Path(environ["ROUTER_STATE"]) / SETTINGS).read_bytes())
-            told = History.read(content).file()
+            told = SettingsHistory.decode(content).newest_file()
             if told is None:
                 raise error
             configuration = configuration_of(told, environ, f"the last good one, in {SETTINGS}")
@@ -558,23 +562,23 @@
     def __init__(self, journal: Journal) -> None:
         self.journal, self.side = journal, SidecarFile(journal, SETTINGS)
         try:
-            self.history = History.read(self.side.load())
+            self.history = SettingsHistory.decode(self.side.load())
         except ValueError as error:
             log.error("%s: open messages keep the settings of now", error)
-            self.history = History()
+            self.history = SettingsHistory()
 
-    def with_taken(self, configuration: Configuration, since: int) -> History:
+    def with_taken(self, configuration: Configuration, since: int) -> SettingsHistory:
         oldest = min(self.journal.live, default=since)
-        return self.history.taken(configuration.told, configuration.settings, since).since(oldest)
+        return self.history.with_change(configuration.told, configuration.settings, since).pruned(oldest)
 
     def take(self, configuration: Configuration, node: Node) -> None:
         """At the start: the file's settings hold for what comes."""
         self.keep(self.with_taken(configuration, node.numbers + 1), node)
 
-    def keep(self, history: History, node: Node) -> None:
+    def keep(self, history: SettingsHistory, node: Node) -> None:
         self.history = node.history = history
         try:
-            self.side.store(history.content())
+            self.side.store(history.encode())
         except OSError as error:
             log.error("the settings in force are not kept, a restart goes by the file alone: %s", error)
 
@@ -593,7 +597,7 @@
         """This process takes over as soon as the one before it is told to end."""
         self.ready, self.known = True, (listed, down)
 
-    def own(self, operators: OperatorCommands) -> Callable[[bytes], bytes]:
+    def become_owner(self, operators: OperatorCommands) -> Callable[[bytes], bytes]:
         """From now on this process owns all; gives what carries out a word that another was told."""
         self.operators, self.relay = operators, None
         return lambda line: answer(line, self)
@@ -615,19 +619,19 @@
 
     def ping(self) -> None:
         if not self.ready:
-            raise Refused("not ready: it takes no messages now")
+            raise CommandRefused("not ready: it takes no messages now")
 
     def info(self) -> dict[str, Any]:
         return Metrics().report(0, 0, *self.known) if self.operators is None else self.operators.info()
 
     def detach(self, endpoint: str) -> None:
         if self.operators is None:
-            raise Refused("not ready")
+            raise CommandRefused("not ready")
         self.operators.detach(endpoint)
 
     def attach(self, endpoint: str) -> None:
         if self.operators is None:
-            raise Refused("not ready")
+            raise CommandRefused("not ready")
         self.operators.attach(endpoint)
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,7 +12,7 @@
 from crowpier.benchlink import parse_settings
 from crowpier.interface import ColdStateRestored, EndpointListReceived, ListKind, MessageAccepted, State
 from rushhitch.acceptor import ACCEPTED, Reply, Submission
-from rushhitch.control.bans import Bans
+from rushhitch.control.detached import DetachedEndpoints
 from rushhitch.core import endpoint_registry
 from rushhitch.core import node as node_module
 from rushhitch.core.messages import BUSY_MS
@@ -39,7 +39,7 @@
         self.node = Node(
             settings, Dispatcher(settings, 1), self.journal, lambda *end: self.ends.put_nowait(end)
         )
-        self.node.bans = Bans(self.journal)
+        self.node.bans = DetachedEndpoints(self.journal)
         self.row = config["known"]["servers"][0]
         self.node.registry.apply_update(config["known"], cached=True)
         resume(self.node)
