--- a/rushhitch/cli.py
+++ b/rushhitch/cli.py
@@ -52,14 +52,14 @@
 
 
 def forward() -> int:
-    from rushhitch.config.platform import BadConfiguration, read_configuration
+    from rushhitch.config.platform import ConfigurationError, read_configuration
     from rushhitch.process import run
     from rushhitch.service import serve
 
     def work() -> Coroutine[Any, Any, None]:
         configuration = read_configuration(os.environ)
         if not configuration.deployment.planners:
-            raise BadConfiguration(
+            raise ConfigurationError(
                 "forward needs [planning] planners in deploy/rushhitch.toml: name them there"
             )
         return serve(configuration, forward=True)
--- a/rushhitch/process.py
+++ b/rushhitch/process.py
@@ -13,7 +13,7 @@
 
 from rushhitch import signals
 from rushhitch.config.deployment import DeploymentError, read_deployment
-from rushhitch.config.platform import BadConfiguration
+from rushhitch.config.platform import ConfigurationError
 
 
 class Throttle(logging.Filter):
@@ -70,7 +70,7 @@
                 runner.run(work())
             finally:
                 signals.detach()
-    except (BadConfiguration, DeploymentError) as error:
+    except (ConfigurationError, DeploymentError) as error:
         print(f"rushhitch: {error}", file=sys.stderr)
         return 2
     return 0
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -21,10 +21,10 @@
 from rushhitch.config.deployment import MODES, DeploymentSettings
 from rushhitch.config.history import SettingsHistory, missing_key
 from rushhitch.config.platform import (
-    BadConfiguration,
-    BadFile,
     Configuration,
-    configuration_of,
+    ConfigurationError,
+    ConfigurationFileError,
+    parse_configuration,
     read_configuration,
 )
 from rushhitch.control.commands import TAKES_ID, BadCommand, CommandRefused, answer, parse
@@ -197,7 +197,7 @@
             try:
                 self.member.start()
             except OSError as error:
-                raise BadConfiguration(f"[membership] listen: {error}") from None
+                raise ConfigurationError(f"[membership] listen: {error}") from None
             self.size()
         if self.sharing is not None:
             self.sharing.start()
@@ -211,7 +211,7 @@
                 listeners.pop(Resp2Connection.name, None),
             )
         except OSError as error:
-            raise BadConfiguration(f"ROUTER_LISTEN: {error}") from None
+            raise ConfigurationError(f"ROUTER_LISTEN: {error}") from None
         if configuration.deployment.events is not None and configuration.deployment.events.listen is not None:
             listen_for_events(self.clients, configuration, node.sinks, listeners.pop("cloudevents", None))
         for listener in listeners.values():  # of fronts that are off now
@@ -478,7 +478,7 @@
     try:
         address = clients.listen(events.listen, CloudEventsConnection.name, front(rules), passed)
     except OSError as error:
-        raise BadConfiguration(f"[cloudevents] listen: {error}") from None
+        raise ConfigurationError(f"[cloudevents] listen: {error}") from None
     log.info("CloudEvents are taken on %s:%d", *address)
 
 
@@ -496,8 +496,8 @@
         changed.clear()
         try:
             new = read_configuration(os.environ)
-            if missing := missing_key(new.told, configuration.told):
-                raise BadConfiguration(f"{missing} is missing, and the settings in force have it")
+            if missing := missing_key(new.raw, configuration.raw):
+                raise ConfigurationError(f"{missing} is missing, and the settings in force have it")
             check_classes(new)
             history = kept.with_taken(new, node.numbers + 1)
             node.reconfigure(in_force(new), history)
@@ -534,7 +534,7 @@
         wanted.append(("sinks", events.sinks.cls))
     for key, name in wanted:
         if name not in names:
-            raise BadConfiguration(
+            raise ConfigurationError(
                 f"[cloudevents] {key}: no class is called {name!r}: use one of {', '.join(sorted(names))}"
             )
 
@@ -543,13 +543,13 @@
     """What the file says, or, while it makes no sense, what the last one said that did."""
     try:
         return read_configuration(environ)
-    except BadFile as error:
+    except ConfigurationFileError as error:
         try:
             content = verified_content((Path(environ["ROUTER_STATE"]) / SETTINGS).read_bytes())
             told = SettingsHistory.decode(content).newest_file()
             if told is None:
                 raise error
-            configuration = configuration_of(told, environ, f"the last good one, in {SETTINGS}")
+            configuration = parse_configuration(told, environ, f"the last good one, in {SETTINGS}")
         except (OSError, ValueError):
             raise error from None
         log.error("the last good configuration is used: %s", error)
@@ -569,7 +569,7 @@
 
     def with_taken(self, configuration: Configuration, since: int) -> SettingsHistory:
         oldest = min(self.journal.live, default=since)
-        return self.history.with_change(configuration.told, configuration.settings, since).pruned(oldest)
+        return self.history.with_change(configuration.raw, configuration.settings, since).pruned(oldest)
 
     def take(self, configuration: Configuration, node: Node) -> None:
         """At the start: the file's settings hold for what comes."""
@@ -643,6 +643,6 @@
     try:
         address = await control.listen(configuration.control)
     except OSError as error:
-        raise BadConfiguration(f"ROUTER_CONTROL: {error}") from None
+        raise ConfigurationError(f"ROUTER_CONTROL: {error}") from None
     log.info("operators are answered on %s:%d", *address)
     return control
--- a/rushhitch/succession/takeover.py
+++ b/rushhitch/succession/takeover.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from rushhitch.config.platform import BadConfiguration, Configuration
+from rushhitch.config.platform import Configuration, ConfigurationError
 from rushhitch.fronts.client_connection import TransferredConnection
 from rushhitch.journal import FolderInUseError, Journal, JournalError, Sync
 from rushhitch.succession import channel as channels
@@ -53,7 +53,7 @@
         self.dead: Callable[[], None] = lambda: None
 
     async def inherit(self) -> Inheritance:
-        """Until this process owns the folder. Raises `BadConfiguration` where it never will."""
+        """Until this process owns the folder. Raises `ConfigurationError` where it never will."""
         waiting = False
         while True:
             if (journal := self.take_folder()) is not None:
@@ -73,10 +73,10 @@
             return Journal(told.state, told.disk_bytes, Sync(told.deployment.sync), lock=lock)
         except FolderInUseError as error:
             if told.control is None:  # no upgrades here: a mistake
-                raise BadConfiguration(f"ROUTER_STATE: {error}") from None
+                raise ConfigurationError(f"ROUTER_STATE: {error}") from None
             return None
         except (OSError, JournalError) as error:
-            raise BadConfiguration(f"ROUTER_STATE: {error}") from None
+            raise ConfigurationError(f"ROUTER_STATE: {error}") from None
 
     async def join(self) -> Do:
         """Ask the holder to hand over."""
@@ -105,7 +105,7 @@
             do = self.successor.refused(bool(told.get("busy")))
             if do is Do.GIVE_UP:
                 channel.close()
-                raise BadConfiguration("ROUTER_STATE: another upgrade is under way: wait for its end")
+                raise ConfigurationError("ROUTER_STATE: another upgrade is under way: wait for its end")
         else:
             do = Do.WAIT
         channels.close_all(fds)
