--- a/rushhitch/config/__init__.py
+++ b/rushhitch/config/__init__.py
@@ -1,1 +1,1 @@
-"""What the operators set, checked, with errors that name the place and the remedy."""
+"""Configuration, validated; errors name the place and the remedy."""
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -452,7 +452,7 @@
     from rushhitch.cloudevents.sinks import Sinks  # with its library: only where it is on
 
     told = events.sinks
-    return Sinks(told.destinations, told.cls, events.source, told.attribute, told.kind)
+    return Sinks(told.destinations, told.cls, events.source, told.attribute, told.type_prefix)
 
 
 def listen_for_events(
