--- a/rushhitch/control/__init__.py
+++ b/rushhitch/control/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' address: one line to a connection, one answer."""
+"""The control address for operators: one command line and one reply per connection."""
--- a/rushhitch/control/commands.py
+++ b/rushhitch/control/commands.py
@@ -1,4 +1,4 @@
-"""What operators say and hear on the control address: bytes to a command, a command to a reply. No I/O."""
+"""Commands of the control address: parses a line, runs the command and encodes the reply. No I/O."""
 
 from __future__ import annotations
 
@@ -7,93 +7,93 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-MOST_LINE = 512  # bytes: a word and an id, with room to spare
-MAX_ID_BYTES = 256  # characters of an endpoint's id
-YES, NO, END = b"ACK", b"NAK", b"--"
+MAX_LINE_BYTES = 512  # a command and an id, with room to spare
+MAX_ID_CHARS = 256  # of an endpoint
+ACK, NAK, INFO_END = b"ACK", b"NAK", b"--"
 TAKES_ID = {"PING": False, "INFO": False, "DETACH": True, "ATTACH": True}
 
 
 class BadCommand(ValueError):
-    """The line makes no sense; the text says what is wrong and what would do."""
+    """The line is not a valid command; the text says what is wrong and what is expected."""
 
 
 class CommandRefused(Exception):
-    """The command makes sense and is not carried out; the text says why."""
+    """The command is valid but was not carried out; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """One call: a word, and the endpoint's id where the word takes one."""
+    """A command word, and the endpoint's id for words that take one."""
 
     word: str
     id: str = ""
 
 
 class Operations(Protocol):
-    """What the address stands for. Each raises `CommandRefused` where the answer is no, and then nothing changed."""
+    """What the commands do. Each may raise `CommandRefused`, and then nothing has changed."""
 
     def ping(self) -> None:
-        """Whether this process can take a message and deliver it."""
+        """Succeeds if this process can accept messages and deliver them."""
 
     def info(self) -> Mapping[str, Any]:
-        """The figures as of now."""
+        """The current metrics."""
 
     def detach(self, endpoint: str) -> None:
-        """Take the endpoint out: when this returns no new call to it can start."""
+        """Detach the endpoint: no call to it starts after this returns."""
 
     def attach(self, endpoint: str) -> None:
-        """The endpoint may serve again."""
+        """Allow calls to the endpoint again."""
 
 
 def parse(data: bytes) -> Command:
-    """The command of a line, which has come whole, with or without its end."""
-    if len(data) > MOST_LINE:
-        raise BadCommand(f"a line of more than {MOST_LINE} bytes")
+    """Parse a complete line, with or without its newline. Raises `BadCommand`."""
+    if len(data) > MAX_LINE_BYTES:
+        raise BadCommand(f"line longer than {MAX_LINE_BYTES} bytes")
     line, end, rest = data.partition(b"\n")
     if rest.strip():
         raise BadCommand("more than one line: send one to a connection")
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
-        raise BadCommand("bytes that are no text: send ASCII") from None
-    known = ", ".join(TAKES_ID)
+        raise BadCommand("line is not ASCII text") from None
+    expected = ", ".join(TAKES_ID)
     if not words:
-        raise BadCommand(f"an empty line: send one of {known}")
-    word, ids = words[0], words[1:]
+        raise BadCommand(f"empty line: send one of {expected}")
+    word, arguments = words[0], words[1:]
     if word not in TAKES_ID:
-        raise BadCommand(f"unknown word {word[:40]!r}: send one of {known}")
+        raise BadCommand(f"unknown word {word[:40]!r}: send one of {expected}")
     if not TAKES_ID[word]:
-        if ids:
-            raise BadCommand(f"{word} takes nothing after it")
+        if arguments:
+            raise BadCommand(f"{word} takes no argument")
         return Command(word)
-    if len(ids) != 1 or len(ids[0]) > MAX_ID_BYTES:
-        raise BadCommand(f"{word} takes one endpoint's id of {MAX_ID_BYTES} characters at most")
-    return Command(word, ids[0])
+    if len(arguments) != 1 or len(arguments[0]) > MAX_ID_CHARS:
+        raise BadCommand(f"{word} takes one endpoint's id, of at most {MAX_ID_CHARS} characters")
+    return Command(word, arguments[0])
 
 
-def whole(data: bytes) -> bool:
-    """Whether the line has come, or can never come to an end that makes sense."""
-    return b"\n" in data or len(data) > MOST_LINE
+def is_complete(data: bytes) -> bool:
+    """Whether the line is complete or already too long."""
+    return b"\n" in data or len(data) > MAX_LINE_BYTES
 
 
 def refusal(text: str) -> bytes:
-    return NO + b" " + " ".join(text.split()).encode("ascii", "replace") + b"\n"
+    return NAK + b" " + " ".join(text.split()).encode("ascii", "replace") + b"\n"
 
 
 def answer(data: bytes, operations: Operations) -> bytes:
-    """The whole reply to what a caller said."""
+    """Run the command in `data` and return the encoded reply."""
     try:
         command = parse(data)
         match command.word:
             case "PING":
                 operations.ping()
             case "INFO":
-                told = json.dumps(operations.info(), separators=(",", ":")).encode()
-                return told + b"\n" + END + b"\n"
+                metrics = json.dumps(operations.info(), separators=(",", ":")).encode()
+                return metrics + b"\n" + INFO_END + b"\n"
             case "DETACH":
                 operations.detach(command.id)
             case "ATTACH":
                 operations.attach(command.id)
     except (BadCommand, CommandRefused) as error:
         return refusal(str(error))
-    return YES + b"\n"
+    return ACK + b"\n"
--- a/rushhitch/control/detached.py
+++ b/rushhitch/control/detached.py
@@ -1,4 +1,4 @@
-"""Which endpoints operators have taken out, over restarts: a small file, written before they hear yes."""
+"""Endpoints that operators have detached, kept across restarts in a file that is written before the ACK."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 class DetachedEndpoints:
-    """The set by endpoint id. `add` and `remove` raise `OSError` where the disk does not take it, and then
-    nothing changed."""
+    """A set of endpoint ids. `add` and `remove` raise `OSError` if the write fails; the set is then
+    unchanged."""
 
     def __init__(self, journal: Journal) -> None:
         self.side = SidecarFile(journal, DETACHED_FILE)
@@ -23,11 +23,11 @@
         content = self.side.load()
         if content is not None:
             try:
-                told = json.loads(content)
-                self.ids = {str(name) for name in told["ids"]}
+                stored = json.loads(content)
+                self.ids = {str(name) for name in stored["ids"]}
             except (ValueError, KeyError, TypeError) as error:
                 log.error(
-                    "%s makes no sense, and which endpoints are detached is unknown: %r", DETACHED_FILE, error
+                    "file %s is malformed, the detached endpoints are unknown: %r", DETACHED_FILE, error
                 )
 
     def add(self, endpoint: str) -> None:
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -29,7 +29,7 @@
 )
 from rushhitch.control.commands import TAKES_ID, BadCommand, CommandRefused, answer, parse
 from rushhitch.control.detached import DetachedEndpoints
-from rushhitch.control.server import MOST_CALLERS, Control
+from rushhitch.control.server import MAX_CONNECTIONS, ControlServer
 from rushhitch.core.endpoint_registry import with_unbatched_kinds
 from rushhitch.core.lifecycle import Phase
 from rushhitch.core.messages import InheritedAttempt
@@ -65,7 +65,7 @@
 OWN_FILES = 48  # descriptors kept from clients and endpoints: some 12 for the process itself (log, loop,
 # lock, listeners, the newest segment), 2 for the watch and notices, 2 for files that are replaced or read
 # again, and 2 * `MAX_ACCEPTS_PER_STEP` for clients that come to be turned away, or are closed to make room
-CALLER_FILES = MOST_CALLERS + 4  # likewise for operators and a successor, where the control address is on
+CALLER_FILES = MAX_CONNECTIONS + 4  # likewise for operators and a successor, where the control address is on
 CLIENT_SHARE = 1 / 3  # of the descriptors: clients hold so many at most for requests
 LEAST_SHARE = 4  # descriptors for clients and as many for endpoints, however few there are
 BEGUN_SHARE = 0.1  # of the memory: requests that are half sent take so much at most
@@ -635,11 +635,11 @@
         self.operators.attach(endpoint)
 
 
-async def open_control(desk: Desk, configuration: Configuration) -> Control | None:
+async def open_control(desk: Desk, configuration: Configuration) -> ControlServer | None:
     """The operators' address, where there is one."""
     if configuration.control is None:
         return None
-    control = Control(desk.answer)
+    control = ControlServer(desk.answer)
     try:
         address = await control.listen(configuration.control)
     except OSError as error:
