--- a/rushhitch/__main__.py
+++ b/rushhitch/__main__.py
@@ -16,9 +16,9 @@
         return command(sys.argv[1:])
     signals.listen()
     from rushhitch.process import run
-    from rushhitch.service import configuration_in_force, serve
+    from rushhitch.service import load_configuration, serve
 
-    return run(lambda: serve(configuration_in_force(os.environ)))
+    return run(lambda: serve(load_configuration(os.environ)))
 
 
 if __name__ == "__main__":
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -1,4 +1,4 @@
-"""The dispatcher's life: what is wired to what, from the start to the end after SIGTERM."""
+"""The dispatcher service: wires the components together and runs them from start to shutdown."""
 
 from __future__ import annotations
 
@@ -59,50 +59,54 @@
 
 log = logging.getLogger("rushhitch")
 
-ACCEPT_S = 0.6  # after SIGTERM: connections go on coming for a while
-FINISH_S = 2.0  # after SIGTERM: connections stay so long; their clients would crowd other dispatchers
-LEAVE_S = 3.3  # after SIGTERM: what is not over by then stays in the journal
-OWN_FILES = 48  # descriptors kept from clients and endpoints: some 12 for the process itself (log, loop,
-# lock, listeners, the newest segment), 2 for the watch and notices, 2 for files that are replaced or read
-# again, and 2 * `MAX_ACCEPTS_PER_STEP` for clients that come to be turned away, or are closed to make room
-CALLER_FILES = MAX_CONNECTIONS + 4  # likewise for operators and a successor, where the control address is on
-CLIENT_SHARE = 1 / 3  # of the descriptors: clients hold so many at most for requests
-LEAST_SHARE = 4  # descriptors for clients and as many for endpoints, however few there are
-BEGUN_SHARE = 0.1  # of the memory: requests that are half sent take so much at most
-SETTINGS = "settings"  # the file in the folder that lasts which has their history
-STATUS_S = 2.0  # between two lines of what is under way
-SIZE_S = 0.5  # between two looks at how many dispatchers may be acting, where there is membership
-SPARE_CLIENTS = 24  # beyond them, for those that come to be turned away
+ACCEPT_PERIOD_S = 0.6  # after SIGTERM, how long new connections are still accepted: clients go on connecting
+CONNECTION_GRACE_S = (
+    2.0  # after SIGTERM, how long connections are kept: their clients would crowd other dispatchers
+)
+SHUTDOWN_DEADLINE_S = 3.3  # after SIGTERM, until shutdown: messages still open then stay in the journal
+RESERVED_DESCRIPTORS = (
+    48  # descriptors reserved from clients and endpoints: some 12 for the process itself (log, loop,
+)
+# lock, listeners, newest segment), 2 for the watch and notices, 2 for files being replaced or reread, and
+# 2 * `MAX_ACCEPTS_PER_STEP` for clients that are being rejected or evicted
+CONTROL_DESCRIPTORS = MAX_CONNECTIONS + 4  # for operators and a successor, with a control address
+CLIENT_SHARE = 1 / 3  # of the descriptors that client connections may hold
+MIN_CONNECTIONS = 4  # least number of descriptors for clients, and for endpoints
+PARTIAL_REQUESTS_SHARE = 0.1  # of the memory that partly received requests may take
+SETTINGS_FILE = "settings"  # file in the state folder with the history of settings
+STATUS_INTERVAL_S = 2.0  # interval of status lines in the log
+FLEET_SIZE_INTERVAL_S = 0.5  # interval of updates of the number of active dispatchers, with membership
+SPARE_CLIENTS = 24  # descriptors beyond `CLIENT_SHARE` for clients that are being rejected
 
 
 async def serve(configuration: Configuration, forward: bool = False) -> None:
-    """Run the dispatcher until SIGTERM or SIGINT, then for a little longer. A forwarder is a dispatcher that
-    reports to planners and heeds what they grant."""
+    """Run the dispatcher until SIGTERM or SIGINT, and shut it down. With `forward` it reports demand to
+    planners and keeps to the limits that they grant."""
     loop = asyncio.get_running_loop()
     stop, changed = asyncio.Event(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signals.attach(number, lambda: loop.call_soon_threadsafe(stop.set))
     signals.attach(signal.SIGHUP, lambda: loop.call_soon_threadsafe(changed.set))
-    await asyncio.sleep(0)  # what came before is heard before anything is owed
+    await asyncio.sleep(0)  # handle pending signals before anything is owned
     if stop.is_set():
-        log.info("%s ends before it has begun", configuration.name)
+        log.info("%s was stopped before it started", configuration.name)
         return
-    desk = Desk()
-    control = await open_control(desk, configuration)
-    takeover = Takeover(configuration, desk.promised)
-    desk.relay = takeover.relay.ask
-    inheriting = loop.create_task(takeover.inherit())
-    stopped = loop.create_task(stop.wait())
-    await asyncio.wait((inheriting, stopped), return_when=asyncio.FIRST_COMPLETED)
-    if not inheriting.done():
-        inheriting.cancel()
+    control_handler = ControlHandler()
+    control = await start_control(control_handler, configuration)
+    takeover = Takeover(configuration, control_handler.takeover_agreed)
+    control_handler.relay = takeover.relay.ask
+    takeover_task = loop.create_task(takeover.inherit())
+    stop_task = loop.create_task(stop.wait())
+    await asyncio.wait((takeover_task, stop_task), return_when=asyncio.FIRST_COMPLETED)
+    if not takeover_task.done():
+        takeover_task.cancel()
         takeover.give_up()
-        log.info("%s ends before it has taken over", configuration.name)
+        log.info("%s was stopped before it took over", configuration.name)
         return
-    inheritance = inheriting.result()
-    if inheritance.waited:  # the file may have changed since it was read
-        configuration = configuration_in_force(os.environ)
-    service = Service(configuration, inheritance, desk, forward)
+    inheritance = takeover_task.result()
+    if inheritance.waited:  # the file may have changed meanwhile
+        configuration = load_configuration(os.environ)
+    service = Service(configuration, inheritance, control_handler, forward)
     try:
         service.start(takeover, changed)
         await stop.wait()
@@ -114,43 +118,55 @@
 
 
 class Service:
-    """One dispatcher at work, wired together: from a folder that it owns to the end."""
+    """A running dispatcher that owns its state folder."""
 
     def __init__(
-        self, configuration: Configuration, inheritance: Inheritance, desk: Desk, forward: bool
+        self,
+        configuration: Configuration,
+        inheritance: Inheritance,
+        control_handler: ControlHandler,
+        forward: bool,
     ) -> None:
-        self.configuration, self.inheritance, self.desk = configuration, inheritance, desk
+        self.configuration, self.inheritance, self.control_handler = (
+            configuration,
+            inheritance,
+            control_handler,
+        )
         self.loop = asyncio.get_running_loop()
         self.journal = journal = inheritance.journal
-        bans, kept = DetachedEndpoints(journal), KeptSettings(journal)
-        most_clients, most_connections = shares(configuration)
+        detached, settings_store = DetachedEndpoints(journal), SettingsStore(journal)
+        most_clients, most_connections = connection_limits(configuration)
         self.notices = NoticeSender(configuration.discovery, lambda number: node.notice_heard(number))
-        spoken = codecs(configuration.deployment)
+        codecs = partner_codecs(configuration.deployment)
         check_classes(configuration)
-        settings = in_force(configuration)
+        settings = effective_settings(configuration)
         self.node = node = Node(
             settings,
             Dispatcher(settings, configuration.seed),
             journal,
             self.notices.add,
             most_connections,
-            spoken,
+            codecs,
             configuration.deployment.events.remember_s
             if configuration.deployment.events is not None
             else 0.0,
-            bans,
-            kept.history,
+            detached,
+            settings_store.history,
         )
         node.ahead_s = steady_clock_offset_s(journal, time.time(), time.monotonic(), boot_id())
-        kept.take(configuration, node)
-        self.kept = kept
+        settings_store.take(configuration, node)
+        self.settings_store = settings_store
         self.handshake = make_handshake(node, configuration.deployment)
         node.sinks = make_sinks(configuration)
         self.planners = make_planners(node, configuration) if forward else None
-        self.clients = ConnectionManager(node, most_clients, int(BEGUN_SHARE * configuration.memory_bytes))
+        self.clients = ConnectionManager(
+            node, most_clients, int(PARTIAL_REQUESTS_SHARE * configuration.memory_bytes)
+        )
         known = configuration.known
-        if inheritance.told is not None:
-            known = {name: inheritance.told[name] for name in ("version", "servers")} | {"full": True}
+        if inheritance.handover_state is not None:
+            known = {name: inheritance.handover_state[name] for name in ("version", "servers")} | {
+                "full": True
+            }
         node.registry.apply_update(known, cached=True)
         self.watch = Watch(
             configuration.discovery,
@@ -167,27 +183,25 @@
             operators,
             self.clients,
             lambda: self.watch.version,
-            desk.become_owner(operators),
+            control_handler.become_owner(operators),
         )
-        self.member = make_member(configuration, inheritance.told)
+        self.member = make_member(configuration, inheritance.handover_state)
         self.sharing = make_sharing(node, configuration, self.member)
-        self.transfer.more = self.hand_membership
-        self.reloading: asyncio.Task[None] | None = None
-        self.sizing: asyncio.TimerHandle | None = None
-        self.telling: asyncio.TimerHandle | None = None
+        self.transfer.more = self.hand_over_membership
+        self.reload_task: asyncio.Task[None] | None = None
+        self.fleet_size_timer: asyncio.TimerHandle | None = None
+        self.status_timer: asyncio.TimerHandle | None = None
 
     def start(self, takeover: Takeover, changed: asyncio.Event) -> None:
-        """Go on with what is there, and take what comes."""
-        configuration, node, told = self.configuration, self.node, self.inheritance.told
-        if told is not None:
-            self.transfer.adopt_waits(told["waits"])
-            resume(node, told["learned"], [InheritedAttempt(*loan) for loan in told["loans"]])
+        """Resume the open messages and start serving. Raises `ConfigurationError` for an address in use."""
+        configuration, node, state = self.configuration, self.node, self.inheritance.handover_state
+        if state is not None:
+            self.transfer.adopt_waits(state["waits"])
+            resume(node, state["learned"], [InheritedAttempt(*loan) for loan in state["loans"]])
         else:
             resume(node)
         if any(message.kept.destination not in node.registry.destinations for message in node.by_id.values()):
-            self.watch.schedule.initial_spread_s = (
-                0.0  # held messages wait for a list: it is asked for at once
-            )
+            self.watch.schedule.initial_spread_s = 0.0  # resumed messages wait for the list: ask at once
         self.platform.start()
         if self.planners is not None:
             self.planners.start()
@@ -198,10 +212,12 @@
                 self.member.start()
             except OSError as error:
                 raise ConfigurationError(f"[membership] listen: {error}") from None
-            self.size()
+            self.update_fleet_size()
         if self.sharing is not None:
             self.sharing.start()
-        self.reloading = self.loop.create_task(reload(changed, configuration, node, self.kept, self.platform))
+        self.reload_task = self.loop.create_task(
+            reload(changed, configuration, node, self.settings_store, self.platform)
+        )
         listeners = self.inheritance.listeners
         try:
             self.clients.listen(
@@ -214,13 +230,13 @@
             raise ConfigurationError(f"ROUTER_LISTEN: {error}") from None
         if configuration.deployment.events is not None and configuration.deployment.events.listen is not None:
             listen_for_events(self.clients, configuration, node.sinks, listeners.pop("cloudevents", None))
-        for listener in listeners.values():  # of fronts that are off now
+        for listener in listeners.values():  # of fronts that are now off
             listener.close()
-        self.take_over(takeover)
+        self.follow_predecessor(takeover)
         if configuration.control is not None:
             self.handover.start()
-        self.desk.ready = True
-        self.tell_status()
+        self.control_handler.ready = True
+        self.log_status()
         log.info(
             "%s is ready on %s:%d, %d messages resumed",
             configuration.name,
@@ -228,67 +244,69 @@
             len(node.by_id),
         )
 
-    def take_over(self, takeover: Takeover) -> None:
-        """What the process before this one still tells: connections, and how its calls end."""
+    def follow_predecessor(self, takeover: Takeover) -> None:
+        """Follow the predecessor: adopt its client connections and the outcomes of its outstanding calls."""
         node, transfer = self.node, self.transfer
 
-        def ended(told: dict[str, Any]) -> None:
+        def attempt_ended(frame: dict[str, Any]) -> None:
             transfer.inherited_attempt_ended(
-                int(told["message"]),
-                int(told["attempt"]),
-                Outcome(told["outcome"]),
-                told["took_ms"],
-                told["wait_ms"],
-                told["over"],
-                told["later"],
-                told.get("final", False),
+                int(frame["message"]),
+                int(frame["attempt"]),
+                Outcome(frame["outcome"]),
+                frame["took_ms"],
+                frame["wait_ms"],
+                frame["over"],
+                frame["later"],
+                frame.get("final", False),
             )
 
         takeover.adopt, takeover.ended, takeover.dead = (
             self.clients.adopt,
-            ended,
+            attempt_ended,
             transfer.fail_inherited_attempts,
         )
         takeover.abandon = node.abandon
         takeover.relay.operate, node.cancel_inherited = self.handover.relay.operate, takeover.cancel_inherited
         takeover.go_on()
 
-    def tell_status(self, before: dict[str, int] | None = None) -> None:
-        """A line now and then of what is under way, so that the last one before a kill tells it."""
+    def log_status(self, before: dict[str, int] | None = None) -> None:
+        """Log the status periodically if it changed, so that the last line before a kill shows it."""
         status = self.node.status()
         if before is not None and status != before:
             log.info("under way", extra=status)
-        self.telling = self.loop.call_later(STATUS_S, self.tell_status, status)
+        self.status_timer = self.loop.call_later(STATUS_INTERVAL_S, self.log_status, status)
 
-    def size(self) -> None:
-        """What is shared among dispatchers is shared by as many as may be acting."""
-        assert self.member is not None, "asked for only where it is on"
-        self.sizing = self.loop.call_later(SIZE_S, self.size)
+    def update_fleet_size(self) -> None:
+        """Periodically set the number of dispatchers that shared limits are divided by to the most that may
+        be active."""
+        assert self.member is not None, "called only with membership"
+        self.fleet_size_timer = self.loop.call_later(FLEET_SIZE_INTERVAL_S, self.update_fleet_size)
         most = self.member.bounds(self.loop.time()).most
         self.node.resize(most)
         self.watch.schedule.resize(most)
 
-    def hand_membership(self) -> dict[str, Any]:
-        """The process that goes on is the same member, in a higher incarnation: nobody hears of a leave."""
+    def hand_over_membership(self) -> dict[str, Any]:
+        """Stop as a member without a leave: the successor goes on as the same member in a higher
+        incarnation."""
         if self.member is None:
             return {}
-        if self.sizing is not None:
-            self.sizing.cancel()
+        if self.fleet_size_timer is not None:
+            self.fleet_size_timer.cancel()
         if self.sharing is not None:
             self.sharing.stop()
         self.member.stop(leave=False)
         return {"incarnation": self.member.detector.table.own.incarnation}
 
     async def end(self) -> None:
-        """After SIGTERM: hand over, where a successor is ready, or leave."""
-        leave_at = self.loop.time() + LEAVE_S
-        self.desk.ready = False
+        """After SIGTERM: hand over to a successor if one is ready, or else shut down."""
+        leave_at = self.loop.time() + SHUTDOWN_DEADLINE_S
+        self.control_handler.ready = False
         if self.handover.incumbent.told_to_end() is Do.YIELD:
             log.info("%s hands over, %d messages held", self.configuration.name, len(self.node.by_id))
-            self.handover.yielded = lambda: self.desk.pass_on(self.handover.relay.ask)
+            self.handover.yielded = lambda: self.control_handler.relay_to(self.handover.relay.ask)
             self.platform.stop()
-            if self.reloading is not None:
-                self.reloading.cancel()  # the settings' file is another process's soon
+            if self.reload_task is not None:
+                self.reload_task.cancel()  # the successor owns the settings file from now on
             if await self.handover.hand_over(leave_at):
                 self.clients.stop_listening()
                 return
@@ -297,12 +315,13 @@
         await self.leave(leave_at)
 
     async def leave(self, leave_at: float) -> None:
-        """End without a successor: clients go elsewhere, what is not over stays in the journal."""
+        """Shut down without a successor. `leave_at` is the deadline on the loop's clock; messages that are
+        open then stay in the journal."""
         node, clients = self.node, self.clients
         log.info("%s is leaving, %d messages held", self.configuration.name, len(node.by_id))
         node.leaving(leave_at)
-        finish_at = self.loop.time() + FINISH_S
-        await asyncio.sleep(ACCEPT_S)
+        finish_at = self.loop.time() + CONNECTION_GRACE_S
+        await asyncio.sleep(ACCEPT_PERIOD_S)
         await clients.accept_backlog()
         clients.stop_listening()
         await asyncio.sleep(finish_at - self.loop.time())
@@ -313,7 +332,7 @@
                 await self.notices.empty.wait()
         except TimeoutError:
             pass
-        await self.transfer.freeze()  # what is not written whole has never run, and the journal says so
+        await self.transfer.freeze()  # calls not yet written whole never ran: journal that
         await self.transfer.end_calls()
         await clients.read_pending_input()
         clients.close_all()
@@ -323,26 +342,29 @@
             "%s ends, %d messages stay in the journal",
             self.configuration.name,
             held,
-            extra=self.account(),
+            extra=self.shutdown_summary(),
         )
 
-    def account(self) -> dict[str, Any]:
-        """What the last line of the log tells besides: what stays, what was refused, and why connections were
-        closed."""
-        notices = sum(kept.notice is not None for kept in self.journal.live.values())
-        told = {"open": len(self.node.by_id), "notices": notices, "held_back": self.node.endpoints.held_back}
-        told |= {f"refused.{what}": count for what, count in self.node.lifecycle.counts().items()}
-        return told | {f"closed.{why}": count for why, count in sorted(self.clients.closed.items())}
+    def shutdown_summary(self) -> dict[str, Any]:
+        """The fields of the last log line: open messages, refusals, and why connections were closed."""
+        notices = sum(entry.notice is not None for entry in self.journal.live.values())
+        fields = {
+            "open": len(self.node.by_id),
+            "notices": notices,
+            "held_back": self.node.endpoints.held_back,
+        }
+        fields |= {f"refused.{reason}": count for reason, count in self.node.lifecycle.counts().items()}
+        return fields | {f"closed.{reason}": count for reason, count in sorted(self.clients.closed.items())}
 
     def close(self) -> None:
         self.node.lifecycle.enter(Phase.CLOSED)
         self.clients.close_all()
-        if self.reloading is not None:
-            self.reloading.cancel()
-        if self.telling is not None:
-            self.telling.cancel()
-        if self.sizing is not None:
-            self.sizing.cancel()
+        if self.reload_task is not None:
+            self.reload_task.cancel()
+        if self.status_timer is not None:
+            self.status_timer.cancel()
+        if self.fleet_size_timer is not None:
+            self.fleet_size_timer.cancel()
         if self.sharing is not None:
             self.sharing.stop()
         if self.member is not None:
@@ -355,27 +377,30 @@
             self.handshake.stop()
         self.node.committer.close()
         self.journal.close()
-        self.node.lifecycle.enter(Phase.RELINQUISHED)  # what connections still tell is for the next process
+        self.node.lifecycle.enter(Phase.RELINQUISHED)  # late outcomes are the next process's
 
 
-def shares(configuration: Configuration) -> tuple[int, int]:
-    """How many connections clients may hold, and how many there may be to endpoints. The system's limit on
-    descriptors counts where it is lower than the platform's. Nobody takes of another's share: idle clients
-    never hold up a call, the watch or the journal."""
+def connection_limits(configuration: Configuration) -> tuple[int, int]:
+    """The maximum numbers of client connections and of connections to endpoints.
+
+    They divide the platform's limit on descriptors, or the system's if it is lower. The shares must not
+    overlap, since otherwise idle clients could hold up calls, the watch or the journal."""
     descriptors, system = configuration.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if system != resource.RLIM_INFINITY:
         descriptors = min(descriptors, system)
-    rest = descriptors - OWN_FILES - (CALLER_FILES if configuration.control is not None else 0)
-    if rest < 2 * LEAST_SHARE:
-        log.warning("%d descriptors are too few: clients may be shut out, or calls not sent", descriptors)
-        rest = 2 * LEAST_SHARE
-    clients = min(int(CLIENT_SHARE * descriptors) + SPARE_CLIENTS, rest // 2)
-    return clients, rest - clients
+    available = (
+        descriptors - RESERVED_DESCRIPTORS - (CONTROL_DESCRIPTORS if configuration.control is not None else 0)
+    )
+    if available < 2 * MIN_CONNECTIONS:
+        log.warning("descriptor limit %d is too low: clients may be rejected and calls delayed", descriptors)
+        available = 2 * MIN_CONNECTIONS
+    clients = min(int(CLIENT_SHARE * descriptors) + SPARE_CLIENTS, available // 2)
+    return clients, available - clients
 
 
 def make_planners(node: Node, configuration: Configuration) -> PlannerClient:
-    """The forwarder's part: it counts, reports and is guided."""
-    from rushhitch.planning.client import PlannerClient  # with its libraries: only where it is on
+    """The client of the planners, which counts demand per lane and applies their grants."""
+    from rushhitch.planning.client import PlannerClient  # imported on demand, with its libraries
     from rushhitch.planning.counts import LaneCounts
 
     node.limits.counts = LaneCounts([cls.worth for cls in configuration.settings.classes])
@@ -385,74 +410,79 @@
     )
 
 
-def make_member(configuration: Configuration, told: Mapping[str, Any] | None) -> Member | None:
-    """This dispatcher among the others; after an upgrade, as the member that the process before it was."""
-    if (set_up := configuration.deployment.membership) is None:
+def make_member(configuration: Configuration, handover_state: Mapping[str, Any] | None) -> Member | None:
+    """The membership server, if it is configured; after an upgrade it continues as the predecessor's
+    member."""
+    if (membership := configuration.deployment.membership) is None:
         return None
-    from rushhitch.membership.server import Server  # with its library: only where it is on
+    from rushhitch.membership.server import Server  # imported on demand, with its library
 
-    named = replace(set_up, name=set_up.name or configuration.name)
-    fleet = set_up.fleet or configuration.settings.dispatchers
-    return Server(named, fleet, int((told or {}).get("incarnation", 0)), configuration.state)
+    settings = replace(membership, name=membership.name or configuration.name)
+    fleet = membership.fleet or configuration.settings.dispatchers
+    return Server(settings, fleet, int((handover_state or {}).get("incarnation", 0)), configuration.state)
 
 
 def make_sharing(node: Node, configuration: Configuration, member: Member | None) -> Sharing | None:
-    """This dispatcher's part of the limits that partners state, where members share them."""
-    if (told := configuration.deployment.sharing) is None or member is None:
+    """This dispatcher's share of partners' rate limits, if members share them."""
+    if (settings := configuration.deployment.sharing) is None or member is None:
         return None
-    from rushhitch.planning.counts import LaneCounts  # with its library: only where it is on
+    from rushhitch.planning.counts import LaneCounts  # imported on demand, with its library
     from rushhitch.sharing import server
 
     node.limits.counts = LaneCounts([cls.worth for cls in configuration.settings.classes])
     name, fleet = member.told.name, member.detector.table.fleet
-    sharing = server.Sharing(name, fleet, told.floor, member, node.limits.needs)
+    sharing = server.Sharing(name, fleet, settings.floor, member, node.limits.needs)
     node.limits.shared = sharing.part
     return sharing
 
 
-def codecs(deployment: DeploymentSettings) -> dict[int, Codec]:
-    """What destinations speak that do not speak the platform's protocol."""
+def partner_codecs(deployment: DeploymentSettings) -> dict[int, Codec]:
+    """The codecs of the destinations that do not use the platform's protocol, by destination number."""
     if deployment.events is None or not deployment.events.partners:
         return {}
-    from rushhitch.partners.cloudevents import CloudEvents  # with its library: only where it is on
+    from rushhitch.partners.cloudevents import CloudEvents  # imported on demand, with its library
 
     types = {cls: kind for kind, cls in deployment.events.types.items() if not kind.endswith("*")}
-    later = deployment.events.acknowledgements
-    acknowledging = frozenset(later.sources.values()) if later is not None else frozenset()
-    made = {
-        (mode, told): CloudEvents(mode, deployment.events.source, types, deployment.events.path, told)
+    acknowledgements = deployment.events.acknowledgements
+    acknowledging = (
+        frozenset(acknowledgements.sources.values()) if acknowledgements is not None else frozenset()
+    )
+    by_mode = {
+        (mode, acknowledged): CloudEvents(
+            mode, deployment.events.source, types, deployment.events.path, acknowledged
+        )
         for mode in MODES
-        for told in (False, True)
+        for acknowledged in (False, True)
     }
     return {
-        number: made[mode, number in acknowledging] for number, mode in deployment.events.partners.items()
+        number: by_mode[mode, number in acknowledging] for number, mode in deployment.events.partners.items()
     }
 
 
 def make_handshake(node: Node, deployment: DeploymentSettings) -> Handshake | None:
-    """What asks partners whether they want events, as the gate of the node."""
+    """Asks partners for consent to events, if that is configured, and gates the node's calls by it."""
     if deployment.events is None or deployment.events.handshake is None:
         return None
-    from rushhitch.partners.agreements import Agreements  # only where it is on
+    from rushhitch.partners.agreements import Agreements  # imported on demand
     from rushhitch.partners.handshake import Handshake
 
-    asking = deployment.events.handshake
-    agreements = Agreements(asking.origin, asking.rate, asking.renew_s * 1000.0)
-    seams = (node.endpoints.ask, node.limits.set_stated_limits, node.registry)
-    handshake = Handshake(*seams, agreements, asking.destinations, deployment.events.path)
+    settings = deployment.events.handshake
+    agreements = Agreements(settings.origin, settings.rate, settings.renew_s * 1000.0)
+    node_parts = (node.endpoints.ask, node.limits.set_stated_limits, node.registry)
+    handshake = Handshake(*node_parts, agreements, settings.destinations, deployment.events.path)
     node.set_gate(handshake)
     return handshake
 
 
 def make_sinks(configuration: Configuration) -> Sinks | None:
-    """Where clients may have ends told."""
+    """The destinations that clients may name to receive outcomes, if any are configured."""
     events = configuration.deployment.events
     if events is None or events.sinks is None:
         return None
-    from rushhitch.cloudevents.sinks import Sinks  # with its library: only where it is on
+    from rushhitch.cloudevents.sinks import Sinks  # imported on demand, with its library
 
-    told = events.sinks
-    return Sinks(told.destinations, told.cls, events.source, told.attribute, told.type_prefix)
+    settings = events.sinks
+    return Sinks(settings.destinations, settings.cls, events.source, settings.attribute, settings.type_prefix)
 
 
 def listen_for_events(
@@ -461,20 +491,27 @@
     sinks: Sinks | None,
     passed: socket.socket | None = None,
 ) -> None:
-    """The CloudEvents front, beside RESP2 and within the same bounds."""
+    """Start the CloudEvents front, which shares the client limits with RESP2; `passed` is the predecessor's
+    listener."""
     from rushhitch.acceptor import Verdict
-    from rushhitch.cloudevents.mapping import Acks, Rules  # with its library: only where it is on
+    from rushhitch.cloudevents.mapping import Acks, Rules  # imported on demand, with its library
     from rushhitch.fronts.cloudevents import CloudEventsConnection, front
 
     events = configuration.deployment.events
-    assert events is not None and events.listen is not None, "asked for only where it is set"
-    most_ms = {cls.name: cls.deadline_ms for cls in configuration.settings.classes}
+    assert events is not None and events.listen is not None, "called only with a listen address"
+    deadlines_ms = {cls.name: cls.deadline_ms for cls in configuration.settings.classes}
     acks = None
-    if (later := events.acknowledgements) is not None:
-        verdicts = {kind: Verdict(told) for kind, told in later.types.items()}
-        acks = Acks(later.sources, verdicts, events.source, later.id_attribute, later.source_attribute)
-    more = (events.usual_ms, acks, sinks)
-    rules = Rules(events.types, most_ms, events.destination, events.destinations, *more)
+    if (acknowledgements := events.acknowledgements) is not None:
+        verdicts = {kind: Verdict(value) for kind, value in acknowledgements.types.items()}
+        acks = Acks(
+            acknowledgements.sources,
+            verdicts,
+            events.source,
+            acknowledgements.id_attribute,
+            acknowledgements.source_attribute,
+        )
+    options = (events.usual_ms, acks, sinks)
+    rules = Rules(events.types, deadlines_ms, events.destination, events.destinations, *options)
     try:
         address = clients.listen(events.listen, CloudEventsConnection.name, front(rules), passed)
     except OSError as error:
@@ -486,45 +523,45 @@
     changed: asyncio.Event,
     configuration: Configuration,
     node: Node,
-    kept: KeptSettings,
+    settings_store: SettingsStore,
     platform: PlatformClient,
 ) -> None:
-    """After each SIGHUP, go on with the file's `settings` and `discovery`, or with neither; all else in it
-    waits for a restart."""
+    """After each SIGHUP, apply both `settings` and `discovery` of the file, or neither if the file is
+    invalid. Everything else in it takes effect at a restart."""
     while True:
         await changed.wait()
         changed.clear()
         try:
             new = read_configuration(os.environ)
             if missing := missing_key(new.raw, configuration.raw):
-                raise ConfigurationError(f"{missing} is missing, and the settings in force have it")
+                raise ConfigurationError(f"{missing} is missing, but is in the current configuration")
             check_classes(new)
-            history = kept.with_taken(new, node.numbers + 1)
-            node.reconfigure(in_force(new), history)
+            history = settings_store.history_with(new, node.numbers + 1)
+            node.reconfigure(effective_settings(new), history)
         except ValueError as error:
             node.metrics.reconfig_failed += 1
             log.error("SIGHUP: the old configuration stays: %s", error)
             continue
-        except Exception:  # guards against a fault of our own, after which no SIGHUP would be heard
+        except Exception:  # a bug must not end this task: later SIGHUPs would be ignored
             node.metrics.reconfig_failed += 1
             log.exception("SIGHUP: the old configuration stays")
             continue
         node.metrics.reconfig_ok += 1
-        kept.keep(history, node)
+        settings_store.keep(history, node)
         log.info("SIGHUP: discovery is at %s:%d", *new.discovery)
         if new.discovery != configuration.discovery:
             platform.move(new.discovery)
         configuration = new
 
 
-def in_force(configuration: Configuration) -> Settings:
-    """The settings as the decisions have them."""
+def effective_settings(configuration: Configuration) -> Settings:
+    """The settings as the decision logic has them."""
     settings = configuration.settings
-    return with_unbatched_kinds(settings) if codecs(configuration.deployment) else settings
+    return with_unbatched_kinds(settings) if partner_codecs(configuration.deployment) else settings
 
 
 def check_classes(configuration: Configuration) -> None:
-    """Guards against settings without a class that `deploy/rushhitch.toml` names."""
+    """Raises `ConfigurationError` if `deploy/rushhitch.toml` names a class that the settings do not have."""
     events = configuration.deployment.events
     if events is None:
         return
@@ -535,76 +572,79 @@
     for key, name in wanted:
         if name not in names:
             raise ConfigurationError(
-                f"[cloudevents] {key}: no class is called {name!r}: use one of {', '.join(sorted(names))}"
+                f"[cloudevents] {key}: unknown class {name!r}: use one of {', '.join(sorted(names))}"
             )
 
 
-def configuration_in_force(environ: Mapping[str, str]) -> Configuration:
-    """What the file says, or, while it makes no sense, what the last one said that did."""
+def load_configuration(environ: Mapping[str, str]) -> Configuration:
+    """The configuration in the file, or the last valid one while the file is invalid. Raises
+    `ConfigurationError`."""
     try:
         return read_configuration(environ)
     except ConfigurationFileError as error:
         try:
-            content = verified_content((Path(environ["ROUTER_STATE"]) / SETTINGS).read_bytes())
-            told = SettingsHistory.decode(content).newest_file()
-            if told is None:
+            content = verified_content((Path(environ["ROUTER_STATE"]) / SETTINGS_FILE).read_bytes())
+            raw = SettingsHistory.decode(content).newest_file()
+            if raw is None:
                 raise error
-            configuration = parse_configuration(told, environ, f"the last good one, in {SETTINGS}")
+            configuration = parse_configuration(raw, environ, f"last valid configuration, in {SETTINGS_FILE}")
         except (OSError, ValueError):
             raise error from None
         log.error("the last good configuration is used: %s", error)
         return configuration
 
 
-class KeptSettings:
-    """The history of settings in its file: what messages were taken under outlasts the process."""
+class SettingsStore:
+    """The history of settings, stored in a file: messages keep their settings across restarts."""
 
     def __init__(self, journal: Journal) -> None:
-        self.journal, self.side = journal, SidecarFile(journal, SETTINGS)
+        self.journal, self.side = journal, SidecarFile(journal, SETTINGS_FILE)
         try:
             self.history = SettingsHistory.decode(self.side.load())
         except ValueError as error:
-            log.error("%s: open messages keep the settings of now", error)
+            log.error("%s: open messages get the current settings", error)
             self.history = SettingsHistory()
 
-    def with_taken(self, configuration: Configuration, since: int) -> SettingsHistory:
+    def history_with(self, configuration: Configuration, since: int) -> SettingsHistory:
         oldest = min(self.journal.live, default=since)
         return self.history.with_change(configuration.raw, configuration.settings, since).pruned(oldest)
 
     def take(self, configuration: Configuration, node: Node) -> None:
-        """At the start: the file's settings hold for what comes."""
-        self.keep(self.with_taken(configuration, node.numbers + 1), node)
+        """At start: the file's settings apply to new messages."""
+        self.keep(self.history_with(configuration, node.numbers + 1), node)
 
     def keep(self, history: SettingsHistory, node: Node) -> None:
         self.history = node.history = history
         try:
             self.side.store(history.encode())
         except OSError as error:
-            log.error("the settings in force are not kept, a restart goes by the file alone: %s", error)
+            log.error("current settings were not stored, a restart will use the file alone: %s", error)
 
 
-class Desk:
-    """What the control address stands for in this process: an owner of all, or one that waits to be, or one
-    that has handed over. Bans are the owner's to answer; the other passes them on."""
+class ControlHandler:
+    """Answers operators before, during and after this process's ownership of the state folder. Only the owner
+    can detach and attach endpoints; otherwise the commands are relayed to the other process of the
+    upgrade."""
 
     def __init__(self) -> None:
         self.operators: OperatorCommands | None = None
         self.ready = False
-        self.known = (0, 0)  # endpoints listed and avoided, as the owner told
+        self.endpoint_counts = (0, 0)  # endpoints listed and down, as reported by the owner
         self.relay: Callable[[bytes], asyncio.Future[bytes]] | None = None
 
-    def promised(self, listed: int, down: int) -> None:
-        """This process takes over as soon as the one before it is told to end."""
-        self.ready, self.known = True, (listed, down)
+    def takeover_agreed(self, listed: int, down: int) -> None:
+        """The takeover is agreed: SIGTERM to the predecessor starts it."""
+        self.ready, self.endpoint_counts = True, (listed, down)
 
     def become_owner(self, operators: OperatorCommands) -> Callable[[bytes], bytes]:
-        """From now on this process owns all; gives what carries out a word that another was told."""
+        """This process owns the state from now on. Returns the function that runs commands which the
+        predecessor relays."""
         self.operators, self.relay = operators, None
         return lambda line: answer(line, self)
 
-    def pass_on(self, relay: Callable[[bytes], asyncio.Future[bytes]]) -> None:
-        """From now on another process owns all. Not before: it drops words that come ahead of `yield`, and a
-        ban that is written until then it finds in the folder."""
+    def relay_to(self, relay: Callable[[bytes], asyncio.Future[bytes]]) -> None:
+        """The successor owns the state from now on. Must not be called before `yield` is sent: the successor
+        drops commands that come ahead of it, and reads from the folder what was detached until then."""
         self.relay = relay
 
     def answer(self, line: bytes) -> bytes | asyncio.Future[bytes]:
@@ -612,17 +652,19 @@
             try:
                 passes_on = TAKES_ID[parse(line).word]
             except BadCommand:
-                passes_on = False  # it is refused here
+                passes_on = False  # rejected below
             if passes_on:
                 return self.relay(line)
         return answer(line, self)
 
     def ping(self) -> None:
         if not self.ready:
-            raise CommandRefused("not ready: it takes no messages now")
+            raise CommandRefused("not ready: not accepting messages now")
 
     def info(self) -> dict[str, Any]:
-        return Metrics().report(0, 0, *self.known) if self.operators is None else self.operators.info()
+        return (
+            Metrics().report(0, 0, *self.endpoint_counts) if self.operators is None else self.operators.info()
+        )
 
     def detach(self, endpoint: str) -> None:
         if self.operators is None:
@@ -635,11 +677,13 @@
         self.operators.attach(endpoint)
 
 
-async def open_control(desk: Desk, configuration: Configuration) -> ControlServer | None:
-    """The operators' address, where there is one."""
+async def start_control(
+    control_handler: ControlHandler, configuration: Configuration
+) -> ControlServer | None:
+    """Start the control server, if it is configured."""
     if configuration.control is None:
         return None
-    control = ControlServer(desk.answer)
+    control = ControlServer(control_handler.answer)
     try:
         address = await control.listen(configuration.control)
     except OSError as error:
--- a/tests/test_unheard_elsewhere.py
+++ b/tests/test_unheard_elsewhere.py
@@ -18,7 +18,7 @@
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.discovery import NoticeSender, PlatformClient, Watch
 from rushhitch.fronts.listener import ConnectionManager
-from rushhitch.service import Desk
+from rushhitch.service import ControlHandler
 from rushhitch.succession.handover import Handover
 from rushhitch.succession.states import VERSION
 from rushhitch.succession.takeover import Takeover
@@ -188,9 +188,13 @@
     """The old one's side of an upgrade over a node of this process; the test plays the new one."""
 
     def __init__(self, bench, folder):
-        self.transfer, operators, self.desk = StateTransfer(bench.node), OperatorCommands(bench.node), Desk()
+        self.transfer, operators, self.control_handler = (
+            StateTransfer(bench.node),
+            OperatorCommands(bench.node),
+            ControlHandler(),
+        )
         clients = ConnectionManager(bench.node, 16)
-        operate = self.desk.become_owner(operators)
+        operate = self.control_handler.become_owner(operators)
         self.handover = Handover(folder, self.transfer, operators, clients, lambda: 41, operate)
         self.heard = asyncio.Queue()
         left, self.new, _ = pair(
@@ -245,17 +249,17 @@
             return await freeze()
 
         old.transfer.freeze = slow_freeze
-        old.handover.yielded = lambda: old.desk.pass_on(old.handover.relay.ask)
+        old.handover.yielded = lambda: old.control_handler.relay_to(old.handover.relay.ask)
         old.handover.incumbent.told_to_end()
         loop = asyncio.get_running_loop()
         going = loop.create_task(old.handover.hand_over(loop.time() + 1.0))
         await asyncio.sleep(0)
-        assert old.desk.answer(b"DETACH e1\n") == b"ACK\n"
+        assert old.control_handler.answer(b"DETACH e1\n") == b"ACK\n"
         assert DetachedEndpoints(bench.journal).ids == {"e1"}, "the new process does not find it"
         frozen.set()
         told, fds = await old.next()
         assert told["t"] == "yield"
-        passed_on = old.desk.answer(b"ATTACH e1\n")
+        passed_on = old.control_handler.answer(b"ATTACH e1\n")
         told, _ = await old.next()
         old.new.send({"t": "said", "n": told["n"], "text": "ACK\n"})
         assert await passed_on == b"ACK\n"
