--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -47,7 +47,7 @@
 from rushhitch.journal.steady_clock import steady_clock_offset_s
 from rushhitch.partners.codec import Codec
 from rushhitch.succession.handover import Handover
-from rushhitch.succession.states import Do
+from rushhitch.succession.states import Action
 from rushhitch.succession.takeover import Inheritance, Takeover
 
 if TYPE_CHECKING:
@@ -260,7 +260,7 @@
                 frame.get("final", False),
             )
 
-        takeover.adopt, takeover.ended, takeover.dead = (
+        takeover.adopt, takeover.on_attempt_ended, takeover.on_predecessor_lost = (
             self.clients.adopt,
             attempt_ended,
             transfer.fail_inherited_attempts,
@@ -301,9 +301,9 @@
         """After SIGTERM: hand over to a successor if one is ready, or else shut down."""
         leave_at = self.loop.time() + SHUTDOWN_DEADLINE_S
         self.control_handler.ready = False
-        if self.handover.incumbent.told_to_end() is Do.YIELD:
+        if self.handover.incumbent.sigterm_received() is Action.YIELD:
             log.info("%s hands over, %d messages held", self.configuration.name, len(self.node.by_id))
-            self.handover.yielded = lambda: self.control_handler.relay_to(self.handover.relay.ask)
+            self.handover.on_yielded = lambda: self.control_handler.relay_to(self.handover.relay.ask)
             self.platform.stop()
             if self.reload_task is not None:
                 self.reload_task.cancel()  # the successor owns the settings file from now on
--- a/rushhitch/succession/__init__.py
+++ b/rushhitch/succession/__init__.py
@@ -1,1 +1,1 @@
-"""One process takes over from another under load: who owns which message, listener, ban and wait."""
+"""Upgrade under load: one process hands its messages, listeners and connections over to another."""
--- a/rushhitch/succession/channel.py
+++ b/rushhitch/succession/channel.py
@@ -1,4 +1,4 @@
-"""The channel between two processes of one dispatcher: JSON messages that may carry descriptors."""
+"""The channel between two processes of one dispatcher: JSON frames that may carry file descriptors."""
 
 from __future__ import annotations
 
@@ -17,45 +17,47 @@
 
 log = logging.getLogger(__name__)
 
-NAME = "succession"  # of the socket in the folder
-FRAME = 60_000  # bytes of one packet at most: well under the least buffer of a socket
-MOST_FDS = 64  # with one message: the kernel takes 253
-RETRY_S = 0.01  # until another try where the kernel holds too many descriptors on their way
-LAST, MORE = b"\x00", b"\x01"  # first byte of a packet: is it the end of its message?
-MOST_PATH = 100  # bytes: the address of a Unix socket has room for 107
-GONE = b"NAK the process that answers this has gone: ask the other one\n"
+SOCKET_NAME = "succession"  # in the state folder
+MAX_PACKET_BYTES = 60_000  # well below the smallest socket buffer
+MAX_FDS = 64  # per frame; the kernel allows 253
+FD_RETRY_S = 0.01  # before another try if the kernel has too many descriptors in flight
+LAST, MORE = b"\x00", b"\x01"  # first byte of a packet: whether its frame ends with it
+MAX_SOCKET_PATH_BYTES = 100  # a Unix socket address has room for 107
+PEER_GONE_REPLY = b"NAK the process that answers this has gone: ask the other one\n"
 CREDENTIALS = struct.Struct("3i")
 
-Heard = Callable[[dict[str, Any], list[int]], None]
+FrameHandler = Callable[[dict[str, Any], list[int]], None]
 
 
 class Channel:
-    """One end. `heard` gets each message and owns its descriptors; `lost` is called once, at the end of it,
-    after all that the other side said."""
+    """One end of the channel. `handle_frame` is called with each frame and owns its descriptors;
+    `channel_lost` is called once, after the channel has closed and every frame has been handled."""
 
-    def __init__(self, sock: socket.socket, heard: Heard, lost: Callable[[], None]) -> None:
-        self.sock, self.heard, self.lost = sock, heard, lost
+    def __init__(
+        self, sock: socket.socket, handle_frame: FrameHandler, channel_lost: Callable[[], None]
+    ) -> None:
+        self.sock, self.handle_frame, self.channel_lost = sock, handle_frame, channel_lost
         self.loop = asyncio.get_running_loop()
         self.queue: deque[tuple[bytes, list[int]]] = deque()
         self.parts: list[bytes] = []
         self.open = True
-        self.empty = asyncio.Event()
-        self.empty.set()
+        self.drained = asyncio.Event()
+        self.drained.set()
         sock.setblocking(False)
         self.loop.add_reader(sock, self.receive)
 
-    def send(self, message: dict[str, Any], fds: list[int] | None = None) -> None:
-        """Queue it; the descriptors are ours and are closed once they are on their way."""
-        data = json.dumps(message, separators=(",", ":")).encode()
+    def send(self, frame: dict[str, Any], fds: list[int] | None = None) -> None:
+        """Queue a frame. Takes ownership of the descriptors and closes them once they are sent."""
+        data = json.dumps(frame, separators=(",", ":")).encode()
         if not self.open:
-            close_all(fds or [])
+            close_descriptors(fds or [])
             return
-        starts = range(0, max(len(data), 1), FRAME)
+        starts = range(0, max(len(data), 1), MAX_PACKET_BYTES)
         for start in starts:
-            last = start + FRAME >= len(data)
-            part = (LAST if last else MORE) + data[start : start + FRAME]
+            last = start + MAX_PACKET_BYTES >= len(data)
+            part = (LAST if last else MORE) + data[start : start + MAX_PACKET_BYTES]
             self.queue.append((part, (fds or []) if last else []))
-        self.empty.clear()
+        self.drained.clear()
         self.flush()
 
     def flush(self) -> None:
@@ -69,47 +71,49 @@
             except OSError as error:
                 if error.errno == errno.ETOOMANYREFS:
                     self.loop.remove_writer(self.sock)
-                    self.loop.call_later(RETRY_S, self.flush)
+                    self.loop.call_later(FD_RETRY_S, self.flush)
                     return
                 self.close()
                 return
             self.queue.popleft()
-            close_all(fds)
+            close_descriptors(fds)
         if self.open:
             self.loop.remove_writer(self.sock)
-        self.empty.set()
+        self.drained.set()
 
     def receive(self) -> None:
-        for _ in range(64):  # then others have a turn
+        for _ in range(64):  # then yield to the rest of the loop
             if not self.open:
                 return
             try:
-                data, fds, _, _ = socket.recv_fds(self.sock, FRAME + 1, MOST_FDS, socket.MSG_CMSG_CLOEXEC)
+                data, fds, _, _ = socket.recv_fds(
+                    self.sock, MAX_PACKET_BYTES + 1, MAX_FDS, socket.MSG_CMSG_CLOEXEC
+                )
             except BlockingIOError:
                 return
             except OSError:
                 data, fds = b"", []
             if not data:
-                close_all(fds)
+                close_descriptors(fds)
                 self.close()
                 return
             self.parts.append(data[1:])
             if data[:1] != LAST:
-                close_all(fds)
+                close_descriptors(fds)
                 continue
-            whole, self.parts = b"".join(self.parts), []
+            encoded, self.parts = b"".join(self.parts), []
             try:
-                message = json.loads(whole)
-                if not isinstance(message, dict):
+                frame = json.loads(encoded)
+                if not isinstance(frame, dict):
                     raise ValueError("not an object")
             except ValueError as error:
-                log.error("succession: a message makes no sense: %s", error)
-                close_all(fds)
+                log.error("succession: malformed frame: %s", error)
+                close_descriptors(fds)
                 continue
             try:
-                self.heard(message, fds)
+                self.handle_frame(frame, fds)
             except Exception:
-                log.exception("succession: a message was not carried out")
+                log.exception("succession: handling a frame failed")
 
     def close(self) -> None:
         if not self.open:
@@ -119,67 +123,68 @@
         self.loop.remove_writer(self.sock)
         self.sock.close()
         for _, fds in self.queue:
-            close_all(fds)
+            close_descriptors(fds)
         self.queue.clear()
-        self.empty.set()
-        self.loop.call_soon(self.lost)
+        self.drained.set()
+        self.loop.call_soon(self.channel_lost)
 
 
 class Relay:
-    """Operators' words that the other process answers, over one channel, and those of the other that this one
-    does. `operate` carries one out here."""
+    """Relays operators' commands to the other process over the channel, and runs those that the other relays
+    with `operate`."""
 
     def __init__(self, operate: Callable[[bytes], bytes]) -> None:
         self.operate = operate
         self.channel: Channel | None = None
-        self.asked: dict[int, asyncio.Future[bytes]] = {}
-        self.asks = 0
+        self.pending: dict[int, asyncio.Future[bytes]] = {}
+        self.last_id = 0
 
     def ask(self, line: bytes) -> asyncio.Future[bytes]:
-        """Its answer, or a no where the other process has gone."""
-        self.asks += 1
+        """Relay a command line; the future has the reply, or a NAK if the other process has gone."""
+        self.last_id += 1
         future: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         if self.channel is None or not self.channel.open:
-            future.set_result(GONE)
+            future.set_result(PEER_GONE_REPLY)
             return future
-        self.asked[self.asks] = future
-        self.channel.send({"t": "ask", "n": self.asks, "line": line.decode("ascii", "replace")})
+        self.pending[self.last_id] = future
+        self.channel.send({"t": "ask", "n": self.last_id, "line": line.decode("ascii", "replace")})
         return future
 
-    def heard(self, told: dict[str, Any]) -> bool:
-        """Whether the message was one of these."""
-        if told.get("t") == "ask" and self.channel is not None:
-            said = self.operate(str(told["line"]).encode())
-            self.channel.send({"t": "said", "n": told["n"], "text": said.decode()})
-        elif told.get("t") == "said":
-            future = self.asked.pop(told["n"], None)
+    def handle_frame(self, frame: dict[str, Any]) -> bool:
+        """Handle a frame of the relay; False if it is some other frame."""
+        if frame.get("t") == "ask" and self.channel is not None:
+            reply = self.operate(str(frame["line"]).encode())
+            self.channel.send({"t": "said", "n": frame["n"], "text": reply.decode()})
+        elif frame.get("t") == "said":
+            future = self.pending.pop(frame["n"], None)
             if future is not None and not future.done():
-                future.set_result(str(told["text"]).encode())
+                future.set_result(str(frame["text"]).encode())
         else:
             return False
         return True
 
-    def lost(self) -> None:
-        """The channel has ended, and with it all that was asked."""
+    def channel_lost(self) -> None:
+        """The channel has closed: answers all pending commands with a NAK."""
         self.channel = None
-        for future in self.asked.values():
+        for future in self.pending.values():
             if not future.done():
-                future.set_result(GONE)
-        self.asked.clear()
+                future.set_result(PEER_GONE_REPLY)
+        self.pending.clear()
 
 
-def close_all(fds: list[int]) -> None:
+def close_descriptors(fds: list[int]) -> None:
     for fd in fds:
         os.close(fd)
 
 
 @contextlib.contextmanager
 def socket_at(folder: Path) -> Iterator[tuple[socket.socket, str]]:
-    """A socket and the address in the folder. One too long goes by the folder's descriptor."""
-    name, fd = str(folder / NAME), -1
-    if len(name.encode()) > MOST_PATH:
+    """A socket and its address in the folder. A path too long for an address goes through the folder's
+    descriptor in /proc."""
+    name, fd = str(folder / SOCKET_NAME), -1
+    if len(name.encode()) > MAX_SOCKET_PATH_BYTES:
         fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-        name = f"/proc/self/fd/{fd}/{NAME}"
+        name = f"/proc/self/fd/{fd}/{SOCKET_NAME}"
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     try:
         yield sock, name
@@ -192,18 +197,18 @@
 
 
 def listen(folder: Path) -> socket.socket:
-    """The old one's socket, for the holder of the folder's lock. An `OSError` where it cannot be."""
+    """The listening socket of the incumbent, which holds the folder's lock. Raises `OSError`."""
     with socket_at(folder) as (sock, name):
-        (folder / NAME).unlink(missing_ok=True)  # of one that was killed
+        (folder / SOCKET_NAME).unlink(missing_ok=True)  # left behind by a killed process
         sock.bind(name)
-        os.chmod(folder / NAME, 0o600)
+        os.chmod(folder / SOCKET_NAME, 0o600)
         sock.listen(4)
         sock.setblocking(False)
     return sock
 
 
 def connect(folder: Path) -> socket.socket:
-    """To the old one; an `OSError` where nobody is there."""
+    """Connect to the incumbent. Raises `OSError` if none listens."""
     with socket_at(folder) as (sock, name):
         sock.settimeout(1.0)
         sock.connect(name)
@@ -211,6 +216,6 @@
 
 
 def same_user(sock: socket.socket) -> bool:
-    """Guards against others on the machine: descriptors and messages go to our own user only."""
+    """Whether the peer runs as our user: descriptors and messages must not go to anyone else."""
     _, uid, _ = CREDENTIALS.unpack(sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size))
     return uid == os.getuid()
--- a/rushhitch/succession/states.py
+++ b/rushhitch/succession/states.py
@@ -1,170 +1,172 @@
-"""What the old and the new process do in an upgrade, step by step: two state machines without I/O.
+"""The protocol of an upgrade: state machines of the incumbent (old) and the successor (new), without I/O.
 
-Each takes what happened and gives what to do now. The rule behind both: nothing is given away before SIGTERM
-reaches the old one, and nothing is owned by two at any moment.
+Each takes an event and returns the action to take. Invariants of both: nothing is handed over before SIGTERM
+reaches the incumbent, and nothing ever has two owners.
 """
 
 from __future__ import annotations
 
 from enum import Enum, auto
 
-VERSION = 1  # of the words between the two
+VERSION = 1  # of the protocol between the two
 
 
-class Old(Enum):
-    """The process that serves."""
+class IncumbentState(Enum):
+    """States of the process that serves."""
 
     SERVING = auto()
-    OFFERING = auto()  # a successor has come and makes itself ready
-    PROMISED = auto()  # it is ready: SIGTERM hands all over
-    YIELDING = auto()  # the successor owns all but the calls that are out here
-    LEAVING = auto()  # SIGTERM without a successor that is ready: a plain end
+    OFFERING = auto()  # a successor has connected and is preparing
+    PROMISED = auto()  # the successor is ready: SIGTERM hands over
+    YIELDING = auto()  # the successor owns everything but the calls outstanding here
+    LEAVING = auto()  # SIGTERM without a ready successor: plain shutdown
     GONE = auto()
 
 
-class New(Enum):
-    """The process that comes."""
+class SuccessorState(Enum):
+    """States of the process that starts."""
 
-    SEEKING = auto()  # is the folder free?
-    PREPARING = auto()  # it is held, and its holder has answered
-    ASKING = auto()  # it can take over, and the old one has yet to promise to hand over
-    READY = auto()  # operators hear yes: SIGTERM to the old one hands over
-    TAKING = auto()  # owns all from now on, and takes it up
+    SEEKING = auto()  # trying to lock the state folder
+    PREPARING = auto()  # it is held, and the holder has answered
+    ASKING = auto()  # able to take over, waiting for the promise of the incumbent
+    READY = auto()  # PING is answered ACK: SIGTERM to the incumbent hands over
+    TAKING = auto()  # owns everything, resuming it
     SERVING = auto()
     REFUSED = auto()
 
 
-class Do(Enum):
-    """What to do now."""
+class Action(Enum):
+    """Actions that follow from an event."""
 
-    WELCOME = auto()  # the old: listeners and the list go over
-    REFUSE = auto()  # the old: another upgrade is under way, or the version is not known
-    YIELD = auto()  # the old: hand all over
-    LEAVE = auto()  # the old: end as without a successor
-    END = auto()  # the old: nothing is left to do here
-    PREPARE = auto()  # the new: with what the old has told
-    ASK = auto()  # the new: for the old one's promise
-    SAY_READY = auto()  # the new: to operators
-    PROMISE = auto()  # the old: SIGTERM hands over from now on
-    TAKE = auto()  # the new: what was handed over
-    TAKE_LOCK = auto()  # the new: the old has died without a word; its folder is free
-    LOSE_CALLS = auto()  # the new: calls out at the old may have run, nobody will know
-    WAIT = auto()  # the new: for the folder, nobody hands it over
-    GIVE_UP = auto()  # the new: end, and disturb nothing
+    WELCOME = auto()  # incumbent: pass the listeners and the endpoint list
+    REFUSE = auto()  # incumbent: another upgrade is in progress, or unknown version
+    YIELD = auto()  # incumbent: hand over
+    LEAVE = auto()  # incumbent: shut down as without a successor
+    END = auto()  # incumbent: exit, nothing is left to do
+    PREPARE = auto()  # successor: with the state of the welcome
+    ASK = auto()  # successor: ask for the promise to hand over
+    SAY_READY = auto()  # successor: tell operators
+    PROMISE = auto()  # incumbent: SIGTERM hands over from now on
+    TAKE = auto()  # successor: take what was handed over
+    TAKE_LOCK = auto()  # successor: the incumbent died without handing over; its folder is free
+    LOSE_CALLS = auto()  # successor: outcomes of calls outstanding at the incumbent are unknown
+    WAIT = auto()  # successor: for the folder's lock, as nobody hands over
+    GIVE_UP = auto()  # successor: exit without changing anything
 
 
 class Incumbent:
-    """The old one's part."""
+    """The state machine of the process that serves."""
 
     def __init__(self) -> None:
-        self.state = Old.SERVING
+        self.state = IncumbentState.SERVING
 
-    def joined(self, version: object) -> Do:
-        """A process asks to succeed."""
-        if self.state is not Old.SERVING or version != VERSION:
-            return Do.REFUSE
-        self.state = Old.OFFERING
-        return Do.WELCOME
+    def joined(self, version: object) -> Action:
+        """A process asks to be the successor."""
+        if self.state is not IncumbentState.SERVING or version != VERSION:
+            return Action.REFUSE
+        self.state = IncumbentState.OFFERING
+        return Action.WELCOME
 
-    def ready(self) -> Do | None:
-        if self.state is not Old.OFFERING:
+    def ready(self) -> Action | None:
+        if self.state is not IncumbentState.OFFERING:
             return None
-        self.state = Old.PROMISED
-        return Do.PROMISE
-
-    def lost(self) -> Do | None:
-        """The channel to the successor has ended. Before SIGTERM nothing was given away."""
-        if self.state in (Old.OFFERING, Old.PROMISED):
-            self.state = Old.SERVING
-        elif self.state is Old.YIELDING:
-            self.state = Old.GONE  # it owned all: outcomes have nobody to go to
-            return Do.END
+        self.state = IncumbentState.PROMISED
+        return Action.PROMISE
+
+    def channel_lost(self) -> Action | None:
+        """The channel to the successor has closed. Before SIGTERM nothing has been handed over."""
+        if self.state in (IncumbentState.OFFERING, IncumbentState.PROMISED):
+            self.state = IncumbentState.SERVING
+        elif self.state is IncumbentState.YIELDING:
+            self.state = IncumbentState.GONE  # the owner is gone: nobody takes outcomes
+            return Action.END
         return None
 
-    def told_to_end(self) -> Do | None:
-        """SIGTERM: the commit point."""
-        if self.state is Old.PROMISED:
-            self.state = Old.YIELDING
-            return Do.YIELD
-        if self.state in (Old.SERVING, Old.OFFERING):
-            self.state = Old.LEAVING
-            return Do.LEAVE
+    def sigterm_received(self) -> Action | None:
+        """SIGTERM: the commit point of the upgrade."""
+        if self.state is IncumbentState.PROMISED:
+            self.state = IncumbentState.YIELDING
+            return Action.YIELD
+        if self.state in (IncumbentState.SERVING, IncumbentState.OFFERING):
+            self.state = IncumbentState.LEAVING
+            return Action.LEAVE
         return None
 
-    def cannot_yield(self) -> None:
-        """The disk does not take what a successor needs: this process still owns all, and ends plainly."""
-        if self.state in (Old.YIELDING, Old.GONE):
-            self.state = Old.LEAVING
-
-    def idle(self) -> Do | None:
-        """No call is out here any more."""
-        if self.state is Old.YIELDING:
-            self.state = Old.GONE
-            return Do.END
+    def handover_failed(self) -> None:
+        """The state cannot be written for a successor: this process remains the owner and shuts down
+        plainly."""
+        if self.state in (IncumbentState.YIELDING, IncumbentState.GONE):
+            self.state = IncumbentState.LEAVING
+
+    def idle(self) -> Action | None:
+        """The last outstanding call has ended."""
+        if self.state is IncumbentState.YIELDING:
+            self.state = IncumbentState.GONE
+            return Action.END
         return None
 
     @property
     def owns(self) -> bool:
-        return self.state not in (Old.YIELDING, Old.GONE)
+        return self.state not in (IncumbentState.YIELDING, IncumbentState.GONE)
 
 
 class Successor:
-    """The new one's part."""
+    """The state machine of the process that takes over."""
 
     def __init__(self) -> None:
-        self.state = New.SEEKING
-
-    def folder_free(self) -> Do:
-        """The lock is ours: a plain start."""
-        self.state = New.SERVING
-        return Do.TAKE
-
-    def welcomed(self, version: object) -> Do:
-        if self.state is not New.SEEKING or version != VERSION:
-            self.state = New.SEEKING
-            return Do.WAIT
-        self.state = New.PREPARING
-        return Do.PREPARE
-
-    def refused(self, busy: bool) -> Do:
-        """The holder does not hand over: to us, since another upgrade is under way, or to this build."""
-        self.state = New.REFUSED if busy else New.SEEKING
-        return Do.GIVE_UP if busy else Do.WAIT
-
-    def prepared(self) -> Do | None:
-        if self.state is not New.PREPARING:
+        self.state = SuccessorState.SEEKING
+
+    def folder_free(self) -> Action:
+        """The folder was locked: a plain start."""
+        self.state = SuccessorState.SERVING
+        return Action.TAKE
+
+    def welcomed(self, version: object) -> Action:
+        if self.state is not SuccessorState.SEEKING or version != VERSION:
+            self.state = SuccessorState.SEEKING
+            return Action.WAIT
+        self.state = SuccessorState.PREPARING
+        return Action.PREPARE
+
+    def refused(self, busy: bool) -> Action:
+        """The holder refuses: with `busy` since another upgrade is in progress, otherwise because of the
+        version."""
+        self.state = SuccessorState.REFUSED if busy else SuccessorState.SEEKING
+        return Action.GIVE_UP if busy else Action.WAIT
+
+    def prepared(self) -> Action | None:
+        if self.state is not SuccessorState.PREPARING:
             return None
-        self.state = New.ASKING
-        return Do.ASK
+        self.state = SuccessorState.ASKING
+        return Action.ASK
 
-    def promised(self) -> Do | None:
-        """The old one has heard. Guards against a yes after which SIGTERM reaches the old one before our
-        word does: it would end as without a successor."""
-        if self.state is not New.ASKING:
+    def promised(self) -> Action | None:
+        """The incumbent confirms. Readiness must not be reported earlier, since otherwise SIGTERM could reach
+        the incumbent before our `ready`, and it would shut down as without a successor."""
+        if self.state is not SuccessorState.ASKING:
             return None
-        self.state = New.READY
-        return Do.SAY_READY
+        self.state = SuccessorState.READY
+        return Action.SAY_READY
 
-    def yielded(self) -> Do | None:
-        """The old one has handed over."""
-        if self.state not in (New.ASKING, New.READY):
+    def yielded(self) -> Action | None:
+        """The incumbent has handed over."""
+        if self.state not in (SuccessorState.ASKING, SuccessorState.READY):
             return None
-        self.state = New.TAKING
-        return Do.TAKE
+        self.state = SuccessorState.TAKING
+        return Action.TAKE
 
     def taken(self) -> None:
-        if self.state is New.TAKING:
-            self.state = New.SERVING
-
-    def lost(self) -> Do | None:
-        """The channel to the old one has ended."""
-        if self.state in (New.PREPARING, New.ASKING, New.READY):
-            self.state = New.TAKING
-            return Do.TAKE_LOCK
-        if self.state in (New.TAKING, New.SERVING):
-            return Do.LOSE_CALLS
+        if self.state is SuccessorState.TAKING:
+            self.state = SuccessorState.SERVING
+
+    def channel_lost(self) -> Action | None:
+        """The channel to the incumbent has closed."""
+        if self.state in (SuccessorState.PREPARING, SuccessorState.ASKING, SuccessorState.READY):
+            self.state = SuccessorState.TAKING
+            return Action.TAKE_LOCK
+        if self.state in (SuccessorState.TAKING, SuccessorState.SERVING):
+            return Action.LOSE_CALLS
         return None
 
     @property
     def owns(self) -> bool:
-        return self.state in (New.TAKING, New.SERVING)
+        return self.state in (SuccessorState.TAKING, SuccessorState.SERVING)
--- a/rushhitch/succession/takeover.py
+++ b/rushhitch/succession/takeover.py
@@ -1,4 +1,5 @@
-"""The new process's side of an upgrade: finds the folder held, makes itself ready, takes all over."""
+"""The successor's side of an upgrade: connects to the holder of the state folder, prepares, and takes
+over."""
 
 from __future__ import annotations
 
@@ -14,194 +15,198 @@
 from rushhitch.fronts.client_connection import TransferredConnection
 from rushhitch.journal import FolderInUseError, Journal, JournalError, Sync
 from rushhitch.succession import channel as channels
-from rushhitch.succession.channel import GONE, Channel, Relay
-from rushhitch.succession.states import VERSION, Do, Successor
+from rushhitch.succession.channel import PEER_GONE_REPLY, Channel, Relay
+from rushhitch.succession.states import VERSION, Action, Successor
 
 log = logging.getLogger(__name__)
 
-TRY_S = 0.1  # between two looks whether a held folder has become free
-ANSWER_S = 2.0  # the holder answers by then, or is waited for
+LOCK_RETRY_S = 0.1  # between two attempts to lock a held folder
+ANSWER_TIMEOUT_S = 2.0  # for the answer to `hello`; then the lock is waited for
 
 
 @dataclass(slots=True)
 class Inheritance:
-    """What this process starts from: its folder, and what another has handed over, if one has."""
+    """What this process starts from: its journal, and the predecessor's state if it was handed over."""
 
     journal: Journal
     listeners: dict[str, socket.socket] = field(default_factory=dict)  # by front
-    told: dict[str, Any] | None = None  # the old one's word at the handover
-    waited: bool = False  # another process held the folder first
+    handover_state: dict[str, Any] | None = None  # the frame `yield`
+    waited: bool = False  # for another process that held the folder
 
 
 class Takeover:
-    """One upgrade, seen from the new process. After `inherit` the owner sets `adopt`, `ended` and `dead`, and
-    calls `go_on`: what came meanwhile follows in order."""
+    """One upgrade, from the successor's side. After `inherit` the owner sets `adopt`, `abandon`,
+    `on_attempt_ended` and `on_predecessor_lost` and calls `go_on`, which first replays the frames received
+    meanwhile, in order."""
 
     def __init__(self, configuration: Configuration, ready: Callable[[int, int], None]) -> None:
-        self.configuration, self.say_ready = configuration, ready
+        self.configuration, self.on_ready = configuration, ready
         self.loop = asyncio.get_running_loop()
         self.successor = Successor()
         self.channel: Channel | None = None
-        self.news: asyncio.Queue[tuple[dict[str, Any], list[int]] | None] = asyncio.Queue()
-        self.following = False  # the owner hears of clients and calls
-        self.relay = Relay(lambda line: GONE)
+        self.inbox: asyncio.Queue[tuple[dict[str, Any], list[int]] | None] = asyncio.Queue()
+        self.following = False  # frames go to the owner's callbacks
+        self.relay = Relay(lambda line: PEER_GONE_REPLY)
         self.adopt: Callable[[socket.socket, str, TransferredConnection], None] = lambda sock, *_: (
             sock.close()
         )
         self.abandon: Callable[[int, str], None] = lambda message, why: None
-        self.ended: Callable[[dict[str, Any]], None] = lambda told: None
-        self.dead: Callable[[], None] = lambda: None
+        self.on_attempt_ended: Callable[[dict[str, Any]], None] = lambda frame: None
+        self.on_predecessor_lost: Callable[[], None] = lambda: None
 
     async def inherit(self) -> Inheritance:
-        """Until this process owns the folder. Raises `ConfigurationError` where it never will."""
+        """Wait until this process owns the folder. Raises `ConfigurationError` if it never will."""
         waiting = False
         while True:
-            if (journal := self.take_folder()) is not None:
+            if (journal := self.open_journal()) is not None:
                 self.successor.folder_free()
                 return Inheritance(journal, waited=waiting)
-            if await self.join() is Do.PREPARE:
-                return await self.prepared()
+            if await self.request_handover() is Action.PREPARE:
+                return await self.await_handover()
             if not waiting:
                 log.warning("the folder is held, and its holder hands nothing over: waiting for its end")
                 waiting = True
-            await asyncio.sleep(TRY_S)
+            await asyncio.sleep(LOCK_RETRY_S)
 
-    def take_folder(self, lock: int = -1) -> Journal | None:
-        """The journal; None while another process holds the folder."""
-        told = self.configuration
+    def open_journal(self, lock: int = -1) -> Journal | None:
+        """Open the journal, with the descriptor of a `lock` that was handed over or by locking the folder;
+        None while another process holds it."""
+        configuration = self.configuration
         try:
-            return Journal(told.state, told.disk_bytes, Sync(told.deployment.sync), lock=lock)
+            return Journal(
+                configuration.state, configuration.disk_bytes, Sync(configuration.deployment.sync), lock=lock
+            )
         except FolderInUseError as error:
-            if told.control is None:  # no upgrades here: a mistake
+            if configuration.control is None:  # upgrades need the control address: a mistake
                 raise ConfigurationError(f"ROUTER_STATE: {error}") from None
             return None
         except (OSError, JournalError) as error:
             raise ConfigurationError(f"ROUTER_STATE: {error}") from None
 
-    async def join(self) -> Do:
-        """Ask the holder to hand over."""
+    async def request_handover(self) -> Action:
+        """Ask the holder to hand over. Raises `ConfigurationError` if another upgrade is in progress."""
         try:
             sock = channels.connect(self.configuration.state)
         except OSError:
-            return Do.WAIT
-        news_of = self.news = asyncio.Queue()  # the end of an earlier try is none of this one
-        self.channel = channel = Channel(sock, self.heard, lambda: news_of.put_nowait(None))
+            return Action.WAIT
+        inbox = self.inbox = asyncio.Queue()  # must not see the end of an earlier channel
+        self.channel = channel = Channel(sock, self.handle_frame, lambda: inbox.put_nowait(None))
         channel.send({"t": "hello", "version": VERSION, "pid": os.getpid()})
         try:
-            async with asyncio.timeout(ANSWER_S):
-                news = await self.news.get()
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                received = await self.inbox.get()
         except TimeoutError:
-            news = None
-        told, fds = news or ({}, [])
-        if told.get("t") == "welcome":
-            do = self.successor.welcomed(told.get("version"))
-            if do is Do.PREPARE:
-                self.welcome, self.relay.channel = told, channel
+            received = None
+        frame, fds = received or ({}, [])
+        if frame.get("t") == "welcome":
+            action = self.successor.welcomed(frame.get("version"))
+            if action is Action.PREPARE:
+                self.welcome, self.relay.channel = frame, channel
                 self.listeners = {
-                    front: socket.socket(fileno=fd) for front, fd in zip(told["fronts"], fds, strict=False)
+                    front: socket.socket(fileno=fd) for front, fd in zip(frame["fronts"], fds, strict=False)
                 }
-                return do
-        elif told.get("t") == "no":
-            do = self.successor.refused(bool(told.get("busy")))
-            if do is Do.GIVE_UP:
+                return action
+        elif frame.get("t") == "no":
+            action = self.successor.refused(bool(frame.get("busy")))
+            if action is Action.GIVE_UP:
                 channel.close()
                 raise ConfigurationError("ROUTER_STATE: another upgrade is under way: wait for its end")
         else:
-            do = Do.WAIT
-        channels.close_all(fds)
+            action = Action.WAIT
+        channels.close_descriptors(fds)
         channel.close()
-        return do
+        return action
 
-    async def prepared(self) -> Inheritance:
-        """Tell the holder and operators that this process is ready, and wait for the handover, or for the
-        holder's death."""
-        assert self.channel is not None, "there is a holder"
+    async def await_handover(self) -> Inheritance:
+        """Tell the holder, and on its promise operators, that this process is ready; wait for the handover or
+        the holder's death."""
+        assert self.channel is not None, "connected to the holder"
         self.successor.prepared()
         self.channel.send({"t": "ready"})
-        while (news := await self.news.get()) is not None:
-            told, fds = news
-            if told.get("t") == "promised" and self.successor.promised() is Do.SAY_READY:
-                self.say_ready(int(self.welcome["listed"]), int(self.welcome["down"]))
+        while (received := await self.inbox.get()) is not None:
+            frame, fds = received
+            if frame.get("t") == "promised" and self.successor.promised() is Action.SAY_READY:
+                self.on_ready(int(self.welcome["listed"]), int(self.welcome["down"]))
                 log.info("ready to take over")
                 continue
-            if told.get("t") == "yield" and self.successor.yielded() is Do.TAKE:
-                journal = self.take_folder(fds[0])
-                assert journal is not None, "its lock was handed over"
-                return Inheritance(journal, self.listeners, told, waited=True)
-            channels.close_all(fds)
-        self.successor.lost()
-        self.relay.lost()
-        log.warning("the process before this one has gone without handing over: its folder is taken up")
-        while (journal := self.take_folder()) is None:
-            await asyncio.sleep(TRY_S / 10.0)
+            if frame.get("t") == "yield" and self.successor.yielded() is Action.TAKE:
+                journal = self.open_journal(fds[0])
+                assert journal is not None, "the lock was handed over"
+                return Inheritance(journal, self.listeners, frame, waited=True)
+            channels.close_descriptors(fds)
+        self.successor.channel_lost()
+        self.relay.channel_lost()
+        log.warning("the predecessor ended without handing over: taking its folder")
+        while (journal := self.open_journal()) is None:
+            await asyncio.sleep(LOCK_RETRY_S / 10.0)
         return Inheritance(journal, self.listeners, waited=True)
 
-    def heard(self, told: dict[str, Any], fds: list[int]) -> None:
-        if told.get("t") == "said":
-            channels.close_all(fds)
-            self.relay.heard(told)
+    def handle_frame(self, frame: dict[str, Any], fds: list[int]) -> None:
+        if frame.get("t") == "said":
+            channels.close_descriptors(fds)
+            self.relay.handle_frame(frame)
         elif self.following:
-            self.follow(told, fds)
+            self.follow(frame, fds)
         else:
-            self.news.put_nowait((told, fds))
+            self.inbox.put_nowait((frame, fds))
 
-    def follow(self, told: dict[str, Any], fds: list[int]) -> None:
-        """What comes after the handover."""
-        word = told.get("t")
-        if word == "client" and fds:
+    def follow(self, frame: dict[str, Any], fds: list[int]) -> None:
+        """Pass a frame that follows the handover to the owner's callbacks."""
+        kind = frame.get("t")
+        if kind == "client" and fds:
             adopted = TransferredConnection(
-                str(told["tail"]).encode("latin-1"),
-                bool(told["asked"]),
-                float(told["heard_at"]),
-                [int(number) for number in told.get("doubtful", ())],
+                str(frame["tail"]).encode("latin-1"),
+                bool(frame["asked"]),
+                float(frame["heard_at"]),
+                [int(number) for number in frame.get("doubtful", ())],
             )
-            self.adopt(socket.socket(fileno=fds[0]), str(told["front"]), adopted)
+            self.adopt(socket.socket(fileno=fds[0]), str(frame["front"]), adopted)
             return
-        channels.close_all(fds)
-        if word == "ended":
-            self.ended(told)
-        elif word == "abandon":
-            self.abandon(int(told["message"]), str(told["why"]))
+        channels.close_descriptors(fds)
+        if kind == "ended":
+            self.on_attempt_ended(frame)
+        elif kind == "abandon":
+            self.abandon(int(frame["message"]), str(frame["why"]))
         else:
-            self.relay.heard(told)
+            self.relay.handle_frame(frame)
 
-    def follow_queued(self, told: dict[str, Any], fds: list[int]) -> None:
-        """Guards against one word that ends a process which has just been given all, as `Channel` does for
-        those that come later."""
+    def follow_queued(self, frame: dict[str, Any], fds: list[int]) -> None:
+        """As `follow`, for a queued frame: an error must not end this process, which owns everything now.
+        `Channel` does the same for later frames."""
         try:
-            self.follow(told, fds)
+            self.follow(frame, fds)
         except Exception:
-            log.exception("succession: a message was not carried out")
+            log.exception("succession: handling a frame failed")
 
     def go_on(self) -> None:
-        """The owner hears of all that comes from now on, and of what has come."""
+        """Pass all frames to the owner's callbacks from now on, starting with the queued ones."""
         self.successor.taken()
         self.following = True
         if self.channel is None:
             return
         over = False
-        while not self.news.empty():
-            news = self.news.get_nowait()
-            if news is None:
+        while not self.inbox.empty():
+            received = self.inbox.get_nowait()
+            if received is None:
                 over = True
             else:
-                self.follow_queued(*news)
-        self.channel.lost = self.lost
+                self.follow_queued(*received)
+        self.channel.channel_lost = self.channel_lost
         if over or not self.channel.open:
-            self.lost()
+            self.channel_lost()
 
-    def lost(self) -> None:
-        """The old one has ended: what it had out and has not told of may have run."""
+    def channel_lost(self) -> None:
+        """The predecessor has ended: calls whose outcome it did not report may have run."""
         self.channel = None
-        self.relay.lost()
-        if self.successor.lost() is Do.LOSE_CALLS:
-            self.dead()
+        self.relay.channel_lost()
+        if self.successor.channel_lost() is Action.LOSE_CALLS:
+            self.on_predecessor_lost()
 
     def cancel_inherited(self, message: int, attempt: int) -> None:
         if self.channel is not None:
             self.channel.send({"t": "cancel", "message": message, "attempt": attempt})
 
     def give_up(self) -> None:
-        """This process ends before it has taken over; the old one serves on."""
+        """Stop before taking over; the incumbent serves on."""
         if self.channel is not None:
             self.channel.close()
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -20,7 +20,7 @@
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.succession import channel as channels
 from rushhitch.succession.channel import Channel
-from rushhitch.succession.states import VERSION, Do, Incumbent, New, Old, Successor
+from rushhitch.succession.states import VERSION, Action, Incumbent, IncumbentState, Successor, SuccessorState
 
 
 class Upgrades(RuleBasedStateMachine):
@@ -47,8 +47,8 @@
         word = self.to_old.pop(0)
         if word == "hello":
             do = self.old.joined(VERSION)
-            self.to_new.append("welcome" if do is Do.WELCOME else "no")
-        elif word == "ready" and self.old.ready() is Do.PROMISE:
+            self.to_new.append("welcome" if do is Action.WELCOME else "no")
+        elif word == "ready" and self.old.ready() is Action.PROMISE:
             self.to_new.append("promised")
 
     @precondition(lambda self: self.to_new and self.new_alive)
@@ -56,30 +56,30 @@
     def new_hears(self):
         word = self.to_new.pop(0)
         if word == "welcome":
-            assert self.new.welcomed(VERSION) is Do.PREPARE
+            assert self.new.welcomed(VERSION) is Action.PREPARE
         elif word == "promised":
-            assert self.new.promised() is Do.SAY_READY
+            assert self.new.promised() is Action.SAY_READY
             self.said_yes = True
         elif word == "yield":
-            assert self.new.yielded() is Do.TAKE
+            assert self.new.yielded() is Action.TAKE
             assert self.lock == "channel"
             self.lock = "new"
             self.new.taken()
 
-    @precondition(lambda self: self.new_alive and self.new.state is New.PREPARING)
+    @precondition(lambda self: self.new_alive and self.new.state is SuccessorState.PREPARING)
     @rule()
     def new_is_prepared(self):
-        assert self.new.prepared() is Do.ASK
+        assert self.new.prepared() is Action.ASK
         self.to_old.append("ready")
 
     @precondition(lambda self: self.old_alive)
     @rule()
     def sigterm(self):
-        do = self.old.told_to_end()
-        assert not (self.said_yes and do is Do.LEAVE and self.new_alive), (
+        do = self.old.sigterm_received()
+        assert not (self.said_yes and do is Action.LEAVE and self.new_alive), (
             "a yes after which nobody is succeeded"
         )
-        if do is Do.YIELD:
+        if do is Action.YIELD:
             assert self.lock == "old"
             self.lock = "channel"
             self.to_new.append("yield")
@@ -94,8 +94,8 @@
     @precondition(lambda self: not self.old_alive and self.new_alive and self.joined and not self.to_new)
     @rule()
     def new_sees_the_end(self):
-        do = self.new.lost()
-        if do is Do.TAKE_LOCK:
+        do = self.new.channel_lost()
+        if do is Action.TAKE_LOCK:
             assert self.lock == "free", "it takes what another may hold"
             self.lock = "new"
 
@@ -107,9 +107,9 @@
             self.lock = "free"
         before = self.old.state
         if self.old_alive and self.joined:
-            self.old.lost()
-            if before in (Old.OFFERING, Old.PROMISED):
-                assert self.old.state is Old.SERVING, "it does not serve on"
+            self.old.channel_lost()
+            if before in (IncumbentState.OFFERING, IncumbentState.PROMISED):
+                assert self.old.state is IncumbentState.SERVING, "it does not serve on"
 
     @rule()
     def time_passes(self):
@@ -119,7 +119,7 @@
     def one_owner_at_most(self):
         if self.old_alive and self.new_alive:
             assert not (self.old.owns and self.new.owns)
-        if self.new_alive and self.new.state is New.SERVING:
+        if self.new_alive and self.new.state is SuccessorState.SERVING:
             assert self.lock == "new"
         if self.old_alive and self.old.owns:
             assert self.lock == "old"
@@ -131,11 +131,11 @@
 
 def test_a_third_process_is_refused_and_one_of_another_version_too():
     old = Incumbent()
-    assert old.joined(VERSION) is Do.WELCOME
-    assert old.joined(VERSION) is Do.REFUSE and old.state is Old.OFFERING
-    assert Incumbent().joined(VERSION + 1) is Do.REFUSE
-    assert Successor().refused(busy=True) is Do.GIVE_UP
-    assert Successor().welcomed(VERSION + 1) is Do.WAIT
+    assert old.joined(VERSION) is Action.WELCOME
+    assert old.joined(VERSION) is Action.REFUSE and old.state is IncumbentState.OFFERING
+    assert Incumbent().joined(VERSION + 1) is Action.REFUSE
+    assert Successor().refused(busy=True) is Action.GIVE_UP
+    assert Successor().welcomed(VERSION + 1) is Action.WAIT
 
 
 def pair(heard_left, heard_right):
@@ -158,7 +158,7 @@
         os.write(fds[0], b"through")
         assert os.read(inside, 7) == b"through"
         assert [(await heard.get())[0]["n"] for _ in range(300)] == list(range(300))
-        await left.empty.wait()
+        await left.drained.wait()
         left.send({"last": 1})
         left.close()
         await lost[1].wait()
@@ -454,7 +454,7 @@
 def test_a_holder_that_hands_nothing_over_is_waited_for(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
-        (tmp_path / "state" / channels.NAME).unlink()
+        (tmp_path / "state" / channels.SOCKET_NAME).unlink()
         await pair.second()
         await pair.log_line("waiting for its end")
         assert (await pair.say(b"PING")).startswith(b"NAK")
--- a/tests/test_unheard_elsewhere.py
+++ b/tests/test_unheard_elsewhere.py
@@ -171,13 +171,13 @@
         def unknown(told):
             raise ValueError("no such outcome")
 
-        takeover.ended = unknown
-        takeover.channel, other, _ = pair(takeover.heard, lambda told, fds: None)
+        takeover.on_attempt_ended = unknown
+        takeover.channel, other, _ = pair(takeover.handle_frame, lambda told, fds: None)
         client, _ = socket.socketpair()
         other.send({"t": "ended", "message": 1, "attempt": 0, "outcome": 99})
         told = {"t": "client", "front": "resp2", "tail": "", "asked": True, "heard_at": 0.0}
         other.send(told, [os.dup(client.fileno())])
-        await until(lambda: takeover.news.qsize() == 2)
+        await until(lambda: takeover.inbox.qsize() == 2)
         takeover.go_on()
         assert len(adopted) == 1, "the client's connection behind it was dropped"
 
@@ -198,7 +198,7 @@
         self.handover = Handover(folder, self.transfer, operators, clients, lambda: 41, operate)
         self.heard = asyncio.Queue()
         left, self.new, _ = pair(
-            lambda told, fds: self.handover.heard(left, told, fds),
+            lambda told, fds: self.handover.handle_frame(left, told, fds),
             lambda told, fds: self.heard.put_nowait((told, fds)),
         )
         self.channel = left
@@ -249,8 +249,8 @@
             return await freeze()
 
         old.transfer.freeze = slow_freeze
-        old.handover.yielded = lambda: old.control_handler.relay_to(old.handover.relay.ask)
-        old.handover.incumbent.told_to_end()
+        old.handover.on_yielded = lambda: old.control_handler.relay_to(old.handover.relay.ask)
+        old.handover.incumbent.sigterm_received()
         loop = asyncio.get_running_loop()
         going = loop.create_task(old.handover.hand_over(loop.time() + 1.0))
         await asyncio.sleep(0)
