--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -513,7 +513,7 @@
         request.answer(200)
         await until(lambda: results)
         assert results[0].over and OperatorCommands(bench.node).info()["inflight"] == 0
-        assert (await bench.answers.get()) == ACCEPTED and (await bench.answers.get()).what == "refused"
+        assert (await bench.answers.get()) == ACCEPTED and (await bench.answers.get()).status == "refused"
         assert held == {path: path.read_bytes() for path in (tmp_path / "state").iterdir() if path.is_file()}
         os.close(lock)
 
