--- a/rushhitch/__main__.py
+++ b/rushhitch/__main__.py
@@ -1,4 +1,4 @@
-"""Start of the dispatcher, or of a subcommand. Run as `python -m rushhitch`."""
+"""Entry point of `python -m rushhitch`: the dispatcher, or a subcommand."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 def main() -> int:
-    """Run what the command line asks for. Signals are heard before the rest is imported, which takes long."""
+    """Run the dispatcher or a subcommand. Signals are handled before the rest is imported, which takes
+    long."""
     if sys.argv[1:]:
-        from rushhitch.cli import main as command  # only a command line needs it
+        from rushhitch.cli import main as command  # imported only for subcommands
 
         return command(sys.argv[1:])
     signals.listen()
--- a/rushhitch/process.py
+++ b/rushhitch/process.py
@@ -1,4 +1,4 @@
-"""What every process of the program has: the log, the event loop, exit codes."""
+"""Common to all processes of the program: logging, the event loop, and exit codes."""
 
 from __future__ import annotations
 
@@ -17,29 +17,32 @@
 
 
 class Throttle(logging.Filter):
-    """Guards against a log that a flood fills: so many lines a second from one place, and then a count."""
+    """Limits the lines a second from one place in the code, so that a burst cannot flood the log; the next
+    line after a burst says how many were dropped."""
 
-    def __init__(self, most: int = 5) -> None:
+    def __init__(self, max_per_second: int = 5) -> None:
         super().__init__()
-        self.most = most
-        self.seen: dict[tuple[str, int], tuple[int, int]] = {}  # by place: the second, and the lines in it
+        self.max_per_second = max_per_second
+        self.seen: dict[tuple[str, int], tuple[int, int]] = {}  # second and lines in it, by place
 
     def filter(self, record: logging.LogRecord) -> bool:
-        if record.levelno < logging.INFO:  # asked for, line by line
+        if record.levelno < logging.INFO:  # debug lines are never dropped
             return True
         place, second = (record.pathname, record.lineno), int(record.created)
         since, count = self.seen.get(place, (second, 0))
         if second > since:
-            if count > self.most:
-                record.msg = f"{record.getMessage()} (and {count - self.most} lines like it were left out)"
+            if count > self.max_per_second:
+                record.msg = (
+                    f"{record.getMessage()} (and {count - self.max_per_second} lines like it were left out)"
+                )
                 record.args = None
             since, count = second, 0
         self.seen[place] = (since, count + 1)
-        return count < self.most
+        return count < self.max_per_second
 
 
 class FieldsFormatter(logging.Formatter):
-    """A line for people, and behind it the fields that were logged with it, as `name=value` (logfmt)."""
+    """Appends the `extra` fields of a record to its line, as `name=value` (logfmt)."""
 
     def formatMessage(self, record: logging.LogRecord) -> str:  # noqa: N802
         line = super().formatMessage(record)
@@ -48,16 +51,17 @@
 
 
 def loop_factory(loop: str) -> Callable[[], asyncio.AbstractEventLoop] | None:
-    """What makes the event loop that is set; None for that of the standard library."""
+    """The factory of the configured event loop; None for asyncio's own."""
     if loop != "uvloop":
         return None
-    import uvloop  # only where it is on: it takes 3 MB
+    import uvloop  # imported on demand: it takes 3 MB
 
     return uvloop.new_event_loop
 
 
 def run(work: Callable[[], Coroutine[Any, Any, None]]) -> int:
-    """Log to standard error and run a process's work; 2 where its configuration makes no sense."""
+    """Set up logging to standard error and run the coroutine that `work` makes. Returns the exit code: 2 if
+    the configuration is invalid."""
     handler = logging.StreamHandler(sys.stderr)
     handler.addFilter(Throttle())
     handler.setFormatter(FieldsFormatter("%(asctime)s %(levelname)s %(message)s"))
--- a/rushhitch/signals.py
+++ b/rushhitch/signals.py
@@ -1,9 +1,9 @@
-"""Signals from the first line of the process on: what comes before the event loop runs is kept for it.
+"""Signal handling from the start of the process: signals that arrive before the event loop runs stay pending.
 
-The command that starts the program ignores SIGHUP (`trap '' HUP` in `deploy/balancer.toml`), which outlasts
-`exec`, so that one that comes while the interpreter starts does no harm: the configuration is read after it.
-`listen` is called before anything else is imported. SIGTERM keeps its default effect until then: nothing has
-been read of the folder, and nothing is owed but what the next process finds there.
+The command that starts the program ignores SIGHUP (`trap '' HUP` in `deploy/balancer.toml`). That outlasts
+`exec`, so a SIGHUP during the start of the interpreter is harmless: the configuration is read later anyway.
+`listen` is called before other imports. Until then SIGTERM ends the process by default, which is safe: it has
+not yet read the state folder, and owes only what the next process finds there.
 """
 
 from __future__ import annotations
@@ -12,36 +12,36 @@
 from collections.abc import Callable
 from types import FrameType
 
-HEARD = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+HANDLED = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 _pending: set[int] = set()
 _handlers: dict[int, Callable[[], None]] = {}
 
 
 def listen() -> None:
-    """Hear the signals from now on; those that come before `attach` are pending."""
-    for number in HEARD:
-        signal.signal(number, _heard)
+    """Handle the signals from now on; those that arrive before `attach` stay pending."""
+    for number in HANDLED:
+        signal.signal(number, _on_signal)
 
 
 def attach(number: int, handler: Callable[[], None]) -> None:
-    """`handler` is called in the main thread for each such signal, and now if one is pending. It must be as
-    careful as a signal handler: it may run between any two lines."""
+    """Call `handler` in the main thread for each such signal, and now if one is pending. It has to be safe as
+    a signal handler, since it may run between any two bytecodes."""
     _handlers[number] = handler
-    signal.signal(number, _heard)
+    signal.signal(number, _on_signal)
     if number in _pending:
         _pending.discard(number)
         handler()
 
 
 def detach() -> None:
-    """The process ends: what comes from now on is ignored."""
+    """Ignore the signals from now on, as the process ends."""
     _handlers.clear()
-    for number in HEARD:
+    for number in HANDLED:
         signal.signal(number, signal.SIG_IGN)
 
 
-def _heard(number: int, frame: FrameType | None) -> None:
+def _on_signal(number: int, frame: FrameType | None) -> None:
     handler = _handlers.get(number)
     if handler is None:
         _pending.add(number)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -283,7 +283,7 @@
 
 
 def test_a_flood_of_like_lines_in_the_log_is_cut_short_and_counted():
-    throttle = Throttle(most=2)
+    throttle = Throttle(max_per_second=2)
 
     def line(created):
         record = logging.LogRecord("x", logging.INFO, "x.py", 7, "line %d", (1,), None)
