--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,12 +8,12 @@
 sys.path.insert(0, str(Path(__file__).parent))
 pytest_plugins = ["known_red", "pytester"]
 
-# The same examples each time, and no deadline: a busy machine is slow.
+# Reproducible examples; no deadline, since a busy machine is slow.
 settings.register_profile("rushhitch", derandomize=True, deadline=None)
 settings.load_profile("rushhitch")
 
 
-LONG = (  # files of tests that start processes, or take seconds: they begin first, so that the end is short
+SLOW_FILES = (  # tests that start processes or take seconds: they run first, so that no worker ends late
     "test_lab_run.py",
     "test_lab_soak.py",
     "test_kill_points.py",
@@ -29,21 +29,21 @@
 
 @pytest.hookimpl(trylast=True)
 def pytest_collection_modifyitems(config, items):
-    """The long ones first, and neighbours to different workers, so that they are shared out. Those marked
-    `alone` come last."""
+    """Order the slow files first, with neighbouring tests on different workers, and tests marked `alone`
+    last."""
     workers = getattr(config, "workerinput", {}).get("workercount", 1)
-    long_first = sorted(items, key=lambda item: item.path.name not in LONG)
-    spread = [item for first in range(workers) for item in long_first[first::workers]]
+    slow_first = sorted(items, key=lambda item: item.path.name not in SLOW_FILES)
+    spread = [item for first in range(workers) for item in slow_first[first::workers]]
     items[:] = sorted(spread, key=lambda item: item.get_closest_marker("alone") is not None)
 
 
 @pytest.fixture(autouse=True)
-def cores(request, tmp_path_factory):
-    """A test marked `alone` waits until no other is at work and keeps the others from beginning; the rest run
-    side by side. One lock for all workers of a run: shared by the others, exclusive for it."""
+def exclusive_run(request, tmp_path_factory):
+    """Run a test marked `alone` by itself, and all others concurrently. All workers of a run use one lock
+    file: exclusive for tests marked `alone`, shared for the others."""
     folder = tmp_path_factory.getbasetemp()
     if hasattr(request.config, "workerinput"):
-        folder = folder.parent  # a worker's own folder lies in the run's
+        folder = folder.parent  # the run's folder, which contains the worker's
     with (folder / "cores.lock").open("w") as lock:
         alone = request.node.get_closest_marker("alone") is not None
         fcntl.flock(lock, fcntl.LOCK_EX if alone else fcntl.LOCK_SH)
@@ -51,7 +51,7 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """The table of protocols by scenario, where that suite was run."""
+    """Print the table of protocols by scenario if that suite was run."""
     suite = sys.modules.get("test_protocols")
     if suite is not None and suite.FOUND:
         terminalreporter.section("protocols")
