--- a/tests/doubles.py
+++ b/tests/doubles.py
@@ -1,4 +1,5 @@
-"""Stand-ins on loopback sockets for what the dispatcher talks to; each does only what a test tells it to."""
+"""Test doubles on loopback sockets for the peers of the dispatcher; each does only what a test tells it
+to."""
 
 from __future__ import annotations
 
@@ -20,8 +21,8 @@
 from rushhitch.journal import Journal, answers
 
 ROOT = Path(__file__).parent.parent
-NOTED_S = 2.0  # an answer is noted within microseconds, on a machine that is not crowded
-TEST_TIMEOUT_S = 30.0  # generous: reached only where something is broken
+NOTED_S = 2.0  # recording an answer takes microseconds on an idle machine
+TEST_TIMEOUT_S = 30.0  # generous: reached only if something is broken
 
 
 def run(work: Coroutine) -> None:
@@ -30,7 +31,7 @@
 
 @dataclass
 class Request:
-    """A request that came in, and its connection."""
+    """A received request and its connection."""
 
     over: asyncio.Event
     writer: asyncio.StreamWriter
@@ -60,13 +61,13 @@
         self.writer.transport.abort()
 
     async def ended(self) -> bool:
-        """Waits until the other side ends the connection."""
+        """Wait until the peer closes the connection."""
         return await self.over.wait()
 
 
 class Peer:
-    """An HTTP server whose requests wait for the test. At a host of its own a port that it has left is nobody
-    else's: at 127.0.0.1 any connection of the machine may take it."""
+    """An HTTP server that queues its requests for the test. With a loopback host of its own, nobody else
+    takes its port after it stops; at 127.0.0.1 any connection of the machine may."""
 
     def __init__(self, host: str = "127.0.0.1") -> None:
         self.host = host
@@ -94,8 +95,8 @@
             over.set()
 
     def stop(self) -> None:
-        """New connections are refused; those that there are stay."""
-        assert self.server is not None, "it was started"
+        """Stop accepting connections; the open ones stay."""
+        assert self.server is not None, "started"
         self.server.close()
 
     async def next(self) -> Request:
@@ -108,13 +109,13 @@
 
 
 def noted(data: bytes) -> bool:
-    """Whether no answer is under way by the marks of that file."""
+    """Whether every answer is recorded, by the marks of the answers file."""
     answered, answering = answers.MARKS.unpack_from(data, answers.MARKS_AT)
     return answered == answering
 
 
 class Program:
-    """The real program in a process of its own, with one partner and the platform as doubles."""
+    """The real program in a child process, with one partner and the platform as doubles."""
 
     def __init__(self, folder: Path, batch: int = 1) -> None:
         self.folder, self.batch, self.host = folder, batch, "127.0.0.1"
@@ -122,7 +123,7 @@
         self.process: asyncio.subprocess.Process | None = None
         self.log: list[str] = []
         self.listen, self.sockets, self.disk_mb = "127.0.0.1:0", 1024, 3.0
-        self.descriptors: int | None = None  # the system's limit on them, where it has a lower one
+        self.descriptors: int | None = None  # limit on them for the child process, if it differs
 
     async def start_doubles(self) -> Program:
         self.partner, self.platform = await Peer(own_host()).start(), await Peer(own_host()).start()
@@ -151,7 +152,7 @@
         await self.wait_until_ready()
 
     async def spawn(self, *words: str) -> asyncio.subprocess.Process:
-        """Start it by that command; it does not serve yet."""
+        """Start it with that command, without waiting until it serves."""
         path = self.folder / "config.json"
         path.write_text(json.dumps(self.config()))
         env = {k: v for k, v in os.environ.items() if not k.startswith("ROUTER_")}
@@ -167,12 +168,12 @@
         return self.process
 
     async def wait_until_ready(self) -> None:
-        """Until it is ready."""
+        """Wait until it serves, and set `port`."""
         line = await self.log_line(" is ready on ")
         self.port = int(line.split(" is ready on ")[1].split(",")[0].split(":")[1])
 
     async def move_discovery(self) -> Peer:
-        """The configuration file names another platform from now on, which this gives."""
+        """Write a configuration file with a new platform, and return that."""
         self.platform = await Peer().start()
         (self.folder / "config.json").write_text(json.dumps(self.config()))
         return self.platform
@@ -188,14 +189,14 @@
         raise AssertionError(f"the log ended without {part!r}: {self.log}")
 
     async def kill(self) -> None:
-        """SIGKILL, once the answers so far are noted: what is in doubt is not meant."""
+        """Send SIGKILL once the answers so far are recorded, so that none is in doubt."""
         await self.answers_noted()
         self.process.kill()
         await self.process.wait()
 
     async def answers_noted(self) -> None:
-        """Until the journal tells of the last answer. A kill right behind it may leave its message in doubt
-        (`test_kill_points`, `test_request_lifecycle`)."""
+        """Wait until the journal has recorded the last answer. A kill before that may leave its message in
+        doubt (`test_kill_points`, `test_request_lifecycle`)."""
         marks = self.folder / "state" / answers.NAME
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(NOTED_S):
@@ -203,14 +204,14 @@
                     await asyncio.sleep(0.001)
 
     def journal(self) -> Journal:
-        """What its journal tells, with nothing changed."""
+        """Open its journal read-only."""
         return Journal(self.folder / "state", float("inf"), writable=False)
 
     async def client(self) -> Client:
         return Client(*await asyncio.open_connection(self.host, self.port))
 
     async def notice(self) -> dict:
-        """The next notice, which is answered; watches that come meanwhile stay silent."""
+        """Return and answer the next notice; watches that come meanwhile get no answer."""
         while True:
             request = await self.platform.next()
             if request.target == "/status":
@@ -221,7 +222,8 @@
 def run_with_program(
     program: Program, started: bool = True
 ) -> Callable[[Callable[[Program], Awaitable[None]]], None]:
-    """Runs a test's coroutine with the program and its surroundings, and ends it whatever happens."""
+    """Decorator: run the test coroutine at once with the program and its doubles, and always end the
+    program."""
 
     def decorate(test: Callable[[Program], Awaitable[None]]) -> None:
         async def work() -> None:
