--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What the suite may pass over: `KNOWN-RED.txt` alone, in runs of a small suite of its own."""
+"""The plugin `known_red`, in runs of a small suite: only tests in `KNOWN-RED.txt` may fail."""
 
 from pathlib import Path
 
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("workers", [(), ("-n", "1")])
-def test_what_is_listed_is_passed_over_and_printed_with_its_cause(run, workers):
+def test_listed_tests_may_fail_and_are_printed_with_their_cause(run, workers):
     ended = run(ALL_RED, *workers)
     assert ended.ret == 0
     assert f"known red: {RED} | slow disk | 7" in str(ended.stdout)
@@ -43,7 +43,7 @@
     assert "3 xfailed" in str(ended.stdout) and "not red" not in str(ended.stdout)
 
 
-def test_what_is_not_listed_fails(run):
+def test_an_unlisted_failure_fails_the_run(run):
     assert run(None).ret == 1
     assert run(f"{RED} | slow disk | 7\n{OTHER} | lost word | 8\n").ret == 1
 
@@ -52,24 +52,24 @@
     ("name", "workers"),
     [("no_such", ()), ("green", ()), ("skipped", ()), ("no_such", ("-n", "1"))],
 )
-def test_a_name_that_no_test_has_and_one_that_does_not_fail_any_more_fail_the_run(run, name, workers):
+def test_listing_an_unknown_test_or_one_that_does_not_fail_fails_the_run(run, name, workers):
     rest = "".join(line for line in ALL_RED.splitlines(True) if OTHER not in line)
     ended = run(f"{rest}tests/test_it.py::test_{name} | mended | 1\n", "--deselect", OTHER, *workers)
     assert ended.ret == 1
     assert f"not red: tests/test_it.py::test_{name}" in str(ended.stdout)
 
 
-def test_one_that_passes_again_fails_a_run_of_it_alone_too(run):
+def test_a_listed_test_that_passes_fails_a_run_of_it_alone_too(run):
     assert run(f"{GREEN} | mended | 1\n", GREEN).ret == 1
 
 
-def test_a_run_of_some_tests_is_not_asked_for_the_others(run):
+def test_a_partial_run_does_not_judge_the_other_listed_tests(run):
     assert run(ALL_RED, GREEN).ret == 0
     assert run(ALL_RED, "-k", "green").ret == 0
 
 
 @pytest.mark.parametrize(
-    ("listed", "said"),
+    ("listed", "message"),
     [
         (f"{ALL_RED}{GREEN} | one more | 2\n", "lists 4 tests, 3 at most"),
         (f"{RED} | slow disk\n", "line 1: write 'test | cause | issue'"),
@@ -77,10 +77,10 @@
         (f"{RED} | slow disk | 7\n{RED} | slow disk | 7\n", "line 2"),
     ],
 )
-def test_a_fourth_and_a_line_without_cause_or_issue_end_the_run_at_once(run, listed, said):
+def test_too_many_entries_or_a_malformed_line_end_the_run_at_once(run, listed, message):
     ended = run(listed)
     assert ended.ret == pytest.ExitCode.USAGE_ERROR
-    assert said in str(ended.stderr)
+    assert message in str(ended.stderr)
 
 
 def test_this_suite_has_the_plugin(request):
