--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,5 @@
-"""Imports form no circle, and no package reaches up: `LAYERS` has them from the top down."""
+"""Imports have no cycles, and no package imports from a higher layer; `LAYERS` lists them from the top
+down."""
 
 import subprocess
 import sys
@@ -40,8 +41,8 @@
     return grimp.build_graph("rushhitch", "crowpier", "lab", cache_dir=None)
 
 
-def circles(imports):
-    """Groups of modules that reach each other (Tarjan)."""
+def cycles(imports):
+    """Strongly connected groups of modules (Tarjan's algorithm)."""
     found, index, low, stack = [], {}, {}, []
 
     def visit(module):
@@ -69,8 +70,8 @@
     return next((n for n, name in enumerate(LAYERS) if f"{module}.".startswith(f"{name}.")), None)
 
 
-def reaching_up(imports):
-    """Imports of a package that stands above."""
+def upward_imports(imports):
+    """Imports from a higher layer."""
     return [
         f"{module} imports {other}"
         for module, others in imports.items()
@@ -79,39 +80,39 @@
     ]
 
 
-def test_no_modules_import_each_other_in_a_circle(graph):
-    assert circles({m: graph.find_modules_directly_imported_by(m) for m in graph.modules}) == []
+def test_imports_have_no_cycles(graph):
+    assert cycles({m: graph.find_modules_directly_imported_by(m) for m in graph.modules}) == []
 
 
-def test_no_package_imports_one_that_stands_above_it(graph):
-    assert reaching_up({m: graph.find_modules_directly_imported_by(m) for m in graph.modules}) == []
+def test_no_package_imports_from_a_higher_layer(graph):
+    assert upward_imports({m: graph.find_modules_directly_imported_by(m) for m in graph.modules}) == []
 
 
-def test_each_module_has_its_layer_and_the_lab_is_never_imported(graph):
+def test_each_module_has_a_layer_and_none_imports_the_lab(graph):
     roots = {"rushhitch", "crowpier", "lab"}
-    without = {m for m in graph.modules if layer_of(m) is None and m.split(".")[0] != "lab"} - roots
-    assert not without, "give them a place in LAYERS"
+    missing = {m for m in graph.modules if layer_of(m) is None and m.split(".")[0] != "lab"} - roots
+    assert not missing, "give them a place in LAYERS"
     assert len(graph.modules) > 60
     for module in graph.modules:
         if module.split(".")[0] != "lab":
             assert not any(o.split(".")[0] == "lab" for o in graph.find_modules_directly_imported_by(module))
 
 
-def test_a_circle_and_an_import_upwards_are_found():
-    assert circles({"a": ["b"], "b": ["c"], "c": ["a"], "d": ["a"]}) == [["a", "b", "c"]]
-    assert reaching_up({"rushhitch.journal.store": ["rushhitch.core.node", "crowpier.interface"]}) == [
+def test_a_cycle_and_an_upward_import_are_detected():
+    assert cycles({"a": ["b"], "b": ["c"], "c": ["a"], "d": ["a"]}) == [["a", "b", "c"]]
+    assert upward_imports({"rushhitch.journal.store": ["rushhitch.core.node", "crowpier.interface"]}) == [
         "rushhitch.journal.store imports rushhitch.core.node"
     ]
 
 
-def test_a_start_imports_nothing_of_what_is_off():
-    # Guards against slow starts: on a share of a core each module costs its part of a second.
-    modules = "rushhitch.__main__, rushhitch.process, rushhitch.service"  # what a start imports, in turn
-    told = f"import sys, {modules}; print(*(name for name in sys.modules))"
-    words = [sys.executable, "-c", told]
-    found = subprocess.run(words, cwd=ROOT, check=True, capture_output=True, text=True).stdout.split()
+def test_a_start_does_not_import_disabled_features():
+    # Each module adds to the start, which is slow on a fraction of a core.
+    modules = "rushhitch.__main__, rushhitch.process, rushhitch.service"  # in the order of a start
+    script = f"import sys, {modules}; print(*(name for name in sys.modules))"
+    command = [sys.executable, "-c", script]
+    found = subprocess.run(command, cwd=ROOT, check=True, capture_output=True, text=True).stdout.split()
     assert "rushhitch.service" in found
-    off = ("membership", "sharing", "planning", "cloudevents", "cli")
+    disabled = ("membership", "sharing", "planning", "cloudevents", "cli")
     outside = ("uvloop", "msgspec", "cloudevents", "cryptography")
-    named = {*outside, *(f"rushhitch.{name}" for name in off)}
+    named = {*outside, *(f"rushhitch.{name}" for name in disabled)}
     assert not [name for name in found if name in named or ".".join(name.split(".")[:2]) in named]
