--- a/tests/test_own.py
+++ b/tests/test_own.py
@@ -1,4 +1,4 @@
-"""`deploy/rushhitch.toml`: what is wrong in it is told with the line and the remedy."""
+"""`deploy/rushhitch.toml`: parsing, and errors that name the line and the remedy."""
 
 import asyncio
 import re
@@ -22,19 +22,19 @@
 from rushhitch.process import loop_factory
 
 
-def test_the_file_of_the_repository_is_sound_and_promises_what_the_platform_needs():
+def test_the_file_in_the_repository_is_valid_and_has_the_defaults():
     assert read_deployment({}) == DeploymentSettings(sync="none")
 
 
-def test_the_choices_are_those_of_the_journal():
+def test_the_sync_choices_are_those_of_the_journal():
     assert SYNCS == tuple(sync.value for sync in Sync)
 
 
-def test_the_choices_of_a_loop_are_those_that_can_be_made():
+def test_every_loop_choice_can_be_created():
     for loop in LOOPS:
-        made = (loop_factory(loop) or asyncio.new_event_loop)()
-        assert isinstance(made, asyncio.AbstractEventLoop)
-        made.close()
+        created = (loop_factory(loop) or asyncio.new_event_loop)()
+        assert isinstance(created, asyncio.AbstractEventLoop)
+        created.close()
 
 
 def planning(tmp_path, text):
@@ -44,9 +44,12 @@
 
 
 def test_planners_are_read_with_their_addresses_and_the_secret(tmp_path):
-    own = planning(tmp_path, 'planners = { p1 = "127.0.0.1:7001" }\nwarm_ms = 5000\n')
-    assert own.planners == {"p1": ("127.0.0.1", 7001)} and own.secret == b"a secret that is long enough"
-    assert own.warm_ms == 5000.0
+    deployment = planning(tmp_path, 'planners = { p1 = "127.0.0.1:7001" }\nwarm_ms = 5000\n')
+    assert (
+        deployment.planners == {"p1": ("127.0.0.1", 7001)}
+        and deployment.secret == b"a secret that is long enough"
+    )
+    assert deployment.warm_ms == 5000.0
 
 
 @pytest.mark.parametrize(
@@ -58,7 +61,7 @@
         ("warm_ms = true\n", "x:3: warm_ms must be a number from 0 to 1e+07, not True"),
     ],
 )
-def test_a_fault_in_planning_is_told_with_its_place(tmp_path, text, error):
+def test_an_error_in_planning_names_its_line(tmp_path, text, error):
     with pytest.raises(DeploymentError, match=re.escape(error)):
         planning(tmp_path, text)
 
@@ -92,13 +95,13 @@
         ("[journal\n", "x: Expected ']' at the end of a table declaration (at line 1, column 9)"),
     ],
 )
-def test_a_fault_is_told_with_its_place(text, error):
-    with pytest.raises(DeploymentError) as told:
+def test_an_error_names_its_line_and_remedy(text, error):
+    with pytest.raises(DeploymentError) as raised:
         parse_deployment(text, "x")
-    assert str(told.value) == error.replace("x:1: sync", "x:2: sync")
+    assert str(raised.value) == error.replace("x:1: sync", "x:2: sync")
 
 
-def test_a_file_that_is_named_must_exist(tmp_path):
+def test_a_file_named_by_the_variable_must_exist(tmp_path):
     missing = tmp_path / "none.toml"
     with pytest.raises(DeploymentError, match="does not exist: name an existing file, or unset it"):
         read_deployment({"RUSHHITCH_TOML": str(missing)})
@@ -110,18 +113,18 @@
 EVENTS = '[cloudevents]\nlisten = "127.0.0.1:8080"\ntypes = { "com.example.paid" = "pay" }\n'
 
 
-def test_the_cloudevents_front_is_off_without_its_section_and_reads_it():
+def test_the_cloudevents_section_is_optional_and_is_read():
     assert parse_deployment("", "x").events is None
-    told = parse_deployment(
+    settings = parse_deployment(
         EVENTS + 'destinations = { "bank-a" = 3 }\nusual_ms = { pay = 800 }\n', "x"
     ).events
-    assert told == CloudEventsSettings(
+    assert settings == CloudEventsSettings(
         ("127.0.0.1", 8080), {"com.example.paid": "pay"}, "subject", {"bank-a": 3}, {"pay": 800.0}
     )
-    told = parse_deployment(
+    settings = parse_deployment(
         '[cloudevents]\npartners = { 3 = "batch" }\nsource = "/a"\npath = "/in"\n', "x"
     ).events
-    assert told == CloudEventsSettings(partners={3: "batch"}, source="/a", path="/in")
+    assert settings == CloudEventsSettings(partners={3: "batch"}, source="/a", path="/in")
 
 
 BOTH = EVENTS + 'partners = { 3 = "binary", 40 = "structured" }\n'
@@ -130,9 +133,9 @@
 
 
 def test_sinks_and_acknowledgements_are_read():
-    told = parse_deployment(BOTH + SINK + ACK, "x").events
-    assert told.sinks == SinkSettings({"books": 40}, "note")
-    assert told.acknowledgements == AcknowledgementSettings({"/bank": 3}, {"org.bank.done": "delivered"})
+    settings = parse_deployment(BOTH + SINK + ACK, "x").events
+    assert settings.sinks == SinkSettings({"books": 40}, "note")
+    assert settings.acknowledgements == AcknowledgementSettings({"/bank": 3}, {"org.bank.done": "delivered"})
 
 
 @pytest.mark.parametrize(
@@ -160,23 +163,23 @@
         (ACK.replace("types", "kinds"), "x:5: acknowledgements must be a table with"),
     ],
 )
-def test_a_fault_in_sinks_and_acknowledgements_is_told_with_its_place(text, error):
+def test_an_error_in_sinks_or_acknowledgements_names_its_line(text, error):
     with pytest.raises(DeploymentError, match=re.escape(error)):
         parse_deployment(BOTH + text, "x")
 
 
-def test_acknowledgements_need_a_front_to_come_in_at():
+def test_acknowledgements_need_a_listen_address():
     with pytest.raises(
         DeploymentError, match="x:3: acknowledgements come in at the front: set listen as well"
     ):
         parse_deployment('[cloudevents]\npartners = { 3 = "binary" }\n' + ACK, "x")
 
 
-def test_partners_may_have_to_agree_all_that_get_events_or_some():
+def test_handshake_defaults_to_all_event_partners_or_names_some():
     text = '[cloudevents]\npartners = { 3 = "batch", 4 = "binary" }\n'
     assert parse_deployment(text, "x").events.handshake is None
-    told = parse_deployment(text + 'handshake = { origin = "a.example" }\n', "x").events.handshake
-    assert told == HandshakeSettings("a.example", frozenset({3, 4}), 0, 600.0)
+    settings = parse_deployment(text + 'handshake = { origin = "a.example" }\n', "x").events.handshake
+    assert settings == HandshakeSettings("a.example", frozenset({3, 4}), 0, 600.0)
     text += 'handshake = { origin = "a.example", destinations = [4], rate = 60, renew_s = 5 }\n'
     assert parse_deployment(text, "x").events.handshake == HandshakeSettings(
         "a.example", frozenset({4}), 60, 5.0
@@ -219,6 +222,6 @@
         (EVENTS + "usual_ms = { pay = 0 }\n", "x:4: usual_ms: milliseconds from 1 to 1e9"),
     ],
 )
-def test_a_fault_in_cloudevents_is_told_with_its_place(text, error):
+def test_an_error_in_cloudevents_names_its_line(text, error):
     with pytest.raises(DeploymentError, match=re.escape(error)):
         parse_deployment(text, "x")
