--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The whole program in a process of its own: what it takes on outlasts it."""
+"""The whole program in a child process: accepted messages survive its restarts."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 def logged_at(line):
-    """The process's own time of a line of its log, in seconds."""
+    """The timestamp of a log line, in seconds."""
     return datetime.strptime(line[:23], "%Y-%m-%d %H:%M:%S,%f").timestamp()
 
 
@@ -42,7 +42,7 @@
 
 
 def test_an_unsafe_message_that_was_out_at_sigkill_fails_at_once_and_is_not_sent_again(tmp_path):
-    # Guards against an attempt that is recorded only after its first byte: it would look unsent.
+    # The attempt must be journaled before its first byte, since otherwise it would look unsent.
     @with_program(tmp_path)
     async def _(program):
         client = await program.client()
@@ -110,7 +110,7 @@
         assert await program.notice() == {"ref": "m1", "result": "dead"}
 
 
-def test_a_torn_last_record_does_not_keep_the_rest_from_being_replayed(tmp_path):
+def test_the_journal_is_replayed_up_to_an_incomplete_last_record(tmp_path):
     @with_program(tmp_path)
     async def _(program):
         client = await program.client()
@@ -118,7 +118,7 @@
         await program.partner.next()
         await program.kill()
         newest = max((program.folder / "state").glob("segment-*"))
-        newest.write_bytes(newest.read_bytes() + newest.read_bytes()[-20:])  # a record that was torn off
+        newest.write_bytes(newest.read_bytes() + newest.read_bytes()[-20:])  # an incomplete record
         await program.start()
         assert await program.notice() == {"ref": "m1", "result": "dead"}
 
@@ -133,13 +133,13 @@
         second = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "rushhitch", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
         )
-        _, told = await second.communicate()
-        assert second.returncode == 2 and b"held by another process: stop that one first" in told
+        _, stderr = await second.communicate()
+        assert second.returncode == 2 and b"held by another process: stop that one first" in stderr
         client = await program.client()
         assert await client.ask(b"PING") == b"+PONG\r\n"
 
 
-def test_with_batched_syncs_a_message_is_taken_on_and_delivered(tmp_path, monkeypatch):
+def test_with_batched_syncs_a_message_is_accepted_and_delivered(tmp_path, monkeypatch):
     toml = tmp_path / "own.toml"
     toml.write_text('[journal]\nsync = "batch"\n')
     monkeypatch.setenv("RUSHHITCH_TOML", str(toml))
@@ -155,7 +155,7 @@
         assert await program.process.wait() == 0
 
 
-def test_sigterm_goes_on_accepting_then_delivers_what_is_out_and_ends_in_time(tmp_path):
+def test_after_sigterm_it_accepts_for_a_while_delivers_and_ends_in_time(tmp_path):
     @with_program(tmp_path)
     async def _(program):
         early = await program.client()
@@ -163,7 +163,7 @@
         program.process.send_signal(signal.SIGTERM)
         await program.log_line("is leaving")
         since = asyncio.get_running_loop().time()
-        late = await program.client()  # connections go on coming for a while
+        late = await program.client()  # connections are accepted for a while
         assert await late.add(b"m1", "pay", 24000) == b"+OK\r\n"
         request = await program.partner.next()
         assert await early.line() == b"" and await late.line() == b""  # closed between requests
@@ -184,7 +184,7 @@
         since = logged_at(await program.log_line("is leaving"))
         await client.add(b"m1", "pay", 24000)
         request = await program.partner.next()
-        request.answer(429, X_Come_Back_Ms="2500")  # after that it could not end in time
+        request.answer(429, X_Come_Back_Ms="2500")  # a call after that could not end in time
         assert logged_at(await program.log_line(" ends, 1 messages stay")) - since < 3.5
         assert await program.process.wait() == 0
         assert program.partner.requests.empty()
@@ -194,7 +194,7 @@
         again.answer(200)
 
 
-def test_a_batch_travels_as_one_call_and_each_message_gets_its_own_end(tmp_path):
+def test_a_batch_is_one_call_and_each_message_has_its_own_outcome(tmp_path):
     @with_program(tmp_path, batch=20)
     async def _(program):
         client = await program.client()
@@ -211,25 +211,25 @@
         again.answer(200)
 
 
-def test_a_told_wait_holds_off_every_message_to_that_partner(tmp_path):
+def test_a_retry_after_delays_every_message_to_that_partner(tmp_path):
     @with_program(tmp_path)
     async def _(program):
         client = await program.client()
         loop = asyncio.get_running_loop()
         await client.add(b"m1")
-        told = loop.time()
+        refused_at = loop.time()
         (await program.partner.next()).answer(429, X_Come_Back_Ms="700")
         await client.add(b"m2")
         names = set()
         for _ in range(2):
             request = await program.partner.next()
-            assert loop.time() - told >= 0.7
+            assert loop.time() - refused_at >= 0.7
             names.add(request.headers["x-correlation-id"])
             request.answer(200)
         assert names == {"m1", "m2"}
 
 
-def test_bad_requests_get_a_plain_error_and_cost_nothing_else(tmp_path):
+def test_a_bad_request_gets_an_error_and_does_not_affect_the_connection(tmp_path):
     @with_program(tmp_path)
     async def _(program):
         client = await program.client()
@@ -248,8 +248,8 @@
     return request
 
 
-def test_sighup_goes_on_with_the_discovery_of_the_file_and_a_restart_stays_there(tmp_path):
-    # Guards against ending on SIGHUP, and against the variable, which still names the old address.
+def test_sighup_applies_the_discovery_of_the_file_and_a_restart_keeps_it(tmp_path):
+    # SIGHUP must not end the process, nor the variable, with the old address, take precedence over the file.
     @with_program(tmp_path)
     async def _(program):
         old, path = program.platform, tmp_path / "config.json"
@@ -273,7 +273,7 @@
         await watched(program.platform)
         client = await program.client()
         assert await client.add(b"m2") == b"+OK\r\n"
-        out = await program.partner.next()  # until it is answered, the process stays
+        out = await program.partner.next()  # the process stays until it is answered
         program.process.send_signal(signal.SIGTERM)
         await program.log_line("is leaving")
         program.process.send_signal(signal.SIGHUP)
@@ -282,7 +282,7 @@
         assert await program.process.wait() == 0
 
 
-def test_a_flood_of_like_lines_in_the_log_is_cut_short_and_counted():
+def test_a_burst_of_log_lines_from_one_place_is_throttled_and_counted():
     throttle = Throttle(max_per_second=2)
 
     def line(created):
@@ -302,37 +302,37 @@
 
 
 @pytest.mark.parametrize(
-    ("spoil", "says"),
+    ("spoil", "message"),
     [
-        (lambda told: told.pop("settings"), "settings is missing"),
-        (lambda told: told["settings"].pop("zones"), "settings: settings: zones is missing"),
-        (lambda told: told["limits"].pop("disk_mb"), "limits.disk_mb is missing"),
-        (lambda told: told.update(listen="nowhere"), "not an address"),
-        (lambda told: told.update(seed="x"), "seed: invalid literal"),
-        (lambda told: told.update(known=[1]), "known"),
+        (lambda config: config.pop("settings"), "settings is missing"),
+        (lambda config: config["settings"].pop("zones"), "settings: settings: zones is missing"),
+        (lambda config: config["limits"].pop("disk_mb"), "limits.disk_mb is missing"),
+        (lambda config: config.update(listen="nowhere"), "not an address"),
+        (lambda config: config.update(seed="x"), "seed: invalid literal"),
+        (lambda config: config.update(known=[1]), "known"),
     ],
 )
-def test_a_bad_configuration_ends_the_start_with_one_line(tmp_path, spoil, says):
+def test_a_bad_configuration_ends_the_start_with_one_line(tmp_path, spoil, message):
     async def work():
         return (await Program(tmp_path).start_doubles()).config()
 
-    told = asyncio.run(work())
-    spoil(told)
+    config = asyncio.run(work())
+    spoil(config)
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(config))
     done = start_with(os.environ | {"ROUTER_CONFIG": str(path), "ROUTER_STATE": str(tmp_path)})
-    assert done.returncode == 2 and says in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and message in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_an_address_that_is_taken_ends_the_start_with_one_line(tmp_path):
+def test_an_address_in_use_ends_the_start_with_one_line(tmp_path):
     async def work():
         return (await Program(tmp_path).start_doubles()).config()
 
-    told = asyncio.run(work())
+    config = asyncio.run(work())
     with socket.create_server(("127.0.0.1", 0)) as taken:
-        told["listen"] = f"127.0.0.1:{taken.getsockname()[1]}"
+        config["listen"] = f"127.0.0.1:{taken.getsockname()[1]}"
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(config))
         done = start_with(os.environ | {"ROUTER_CONFIG": str(path), "ROUTER_STATE": str(tmp_path)})
     assert done.returncode == 2 and "ROUTER_LISTEN" in done.stderr and done.stderr.count("\n") == 1
 
@@ -343,7 +343,7 @@
     assert (done.returncode, done.stderr) == (2, "rushhitch: ROUTER_CONFIG is not set\n")
 
 
-def test_the_log_tells_what_a_start_found_and_what_an_end_leaves_as_fields(tmp_path):
+def test_the_log_has_the_state_at_start_and_at_the_end_as_fields(tmp_path):
     @with_program(tmp_path)
     async def _(program):
         client = await program.client()
@@ -359,7 +359,7 @@
         assert found.rstrip().endswith("to_be_notified=1")
 
 
-def test_with_debug_each_step_of_a_request_is_a_line_with_its_id(tmp_path, monkeypatch):
+def test_debug_logs_a_line_with_the_id_for_each_step_of_a_request(tmp_path, monkeypatch):
     (tmp_path / "own.toml").write_text('[process]\nlog = "debug"\n')
     monkeypatch.setenv("RUSHHITCH_TOML", str(tmp_path / "own.toml"))
 
