--- a/tests/test_stopped.py
+++ b/tests/test_stopped.py
@@ -1,4 +1,4 @@
-"""Requests read behind a stop of the process, whose clients have timed out and closed."""
+"""Requests that are read after a pause (SIGSTOP), when their clients have timed out and closed."""
 
 import asyncio
 import signal
@@ -7,21 +7,21 @@
 from doubles import Program, run_with_program
 
 
-@pytest.mark.parametrize("round_", range(5))
-def test_requests_whose_clients_gave_up_while_the_process_stood_still_are_not_sent(tmp_path, round_):
+@pytest.mark.parametrize("step", range(5))
+def test_requests_whose_clients_gave_up_while_the_process_was_stopped_are_not_sent(tmp_path, step):
     @run_with_program(Program(tmp_path))
     async def _(program):
-        kept = [await program.client() for _ in range(20)]  # connections that are up
+        clients = [await program.client() for _ in range(20)]  # established connections
         warm = await program.client()
-        warm.send(b"OUT.ADD", b"0" * 16, b"warm", b"c=note,d=6000,dest=7", b"x")  # a turn is under way
+        warm.send(b"OUT.ADD", b"0" * 16, b"warm", b"c=note,d=6000,dest=7", b"x")  # a batch is being processed
         await warm.writer.drain()
-        await asyncio.sleep(0.002 * round_ / 4)
+        await asyncio.sleep(0.002 * step / 4)
         program.process.send_signal(signal.SIGSTOP)
-        for at, client in enumerate(kept):
-            client.send(b"OUT.ADD", b"0" * 16, b"old%d" % at, b"c=note,d=6000,dest=7", b"x")
+        for number, client in enumerate(clients):
+            client.send(b"OUT.ADD", b"0" * 16, b"old%d" % number, b"c=note,d=6000,dest=7", b"x")
             await client.writer.drain()
         await asyncio.sleep(0.42)
-        for client in kept:
+        for client in clients:
             client.writer.transport.abort()
         await asyncio.sleep(0.1)
         program.process.send_signal(signal.SIGCONT)
