--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -1,4 +1,4 @@
-"""One process takes over from another: the state machines, the channel, and two real programs."""
+"""Upgrades: the state machines, the channel, and two real processes."""
 
 import asyncio
 import errno
@@ -10,7 +10,7 @@
 
 import pytest
 from doubles import ROOT, Program, run
-from hypothesis import settings as budget
+from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from test_node import with_bench
 
@@ -24,8 +24,8 @@
 
 
 class Upgrades(RuleBasedStateMachine):
-    """An old and a new process whose words may be on their way, and either of which may die at any step. The
-    folder has one owner at most, and never two who think so."""
+    """Model of an incumbent and a successor with frames in flight, either of which may die at any step. The
+    folder must never have two owners, nor two processes that believe they own it."""
 
     def __init__(self):
         super().__init__()
@@ -77,7 +77,7 @@
     def sigterm(self):
         do = self.old.sigterm_received()
         assert not (self.said_yes and do is Action.LEAVE and self.new_alive), (
-            "a yes after which nobody is succeeded"
+            "ready was reported, but SIGTERM does not hand over"
         )
         if do is Action.YIELD:
             assert self.lock == "old"
@@ -96,7 +96,7 @@
     def new_sees_the_end(self):
         do = self.new.channel_lost()
         if do is Action.TAKE_LOCK:
-            assert self.lock == "free", "it takes what another may hold"
+            assert self.lock == "free", "takes a lock that another process may hold"
             self.lock = "new"
 
     @precondition(lambda self: self.new_alive)
@@ -109,11 +109,11 @@
         if self.old_alive and self.joined:
             self.old.channel_lost()
             if before in (IncumbentState.OFFERING, IncumbentState.PROMISED):
-                assert self.old.state is IncumbentState.SERVING, "it does not serve on"
+                assert self.old.state is IncumbentState.SERVING, "the incumbent does not serve on"
 
     @rule()
     def time_passes(self):
-        """There is a step also where both are dead."""
+        """A rule that is always enabled, also when both are dead."""
 
     @invariant()
     def one_owner_at_most(self):
@@ -125,11 +125,13 @@
             assert self.lock == "old"
 
 
-Upgrades.TestCase.settings = budget(max_examples=200, stateful_step_count=20, deadline=None, derandomize=True)
+Upgrades.TestCase.settings = hypothesis_settings(
+    max_examples=200, stateful_step_count=20, deadline=None, derandomize=True
+)
 TestUpgrades = Upgrades.TestCase
 
 
-def test_a_third_process_is_refused_and_one_of_another_version_too():
+def test_a_third_process_and_another_version_are_refused():
     old = Incumbent()
     assert old.joined(VERSION) is Action.WELCOME
     assert old.joined(VERSION) is Action.REFUSE and old.state is IncumbentState.OFFERING
@@ -139,13 +141,13 @@
 
 
 def pair(heard_left, heard_right):
-    """Two ends, and events of their ends."""
+    """Two connected channels, and events that are set when they close."""
     left, right = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     lost = [asyncio.Event(), asyncio.Event()]
     return Channel(left, heard_left, lost[0].set), Channel(right, heard_right, lost[1].set), lost
 
 
-def test_the_channel_carries_long_messages_with_descriptors_in_order_and_tells_its_end_last():
+def test_the_channel_carries_long_frames_with_descriptors_in_order_before_its_end():
     async def work():
         heard = asyncio.Queue()
         left, right, lost = pair(lambda *news: None, lambda told, fds: heard.put_nowait((told, fds)))
@@ -169,7 +171,7 @@
     run(work())
 
 
-def test_a_message_that_makes_no_sense_does_not_end_the_channel():
+def test_a_malformed_frame_does_not_end_the_channel():
     async def work():
         heard = asyncio.Queue()
         left, right, _ = pair(lambda *news: None, lambda told, fds: heard.put_nowait(told))
@@ -183,23 +185,23 @@
     run(work())
 
 
-def test_a_folder_with_a_long_name_takes_the_socket_too(tmp_path):
+def test_the_socket_works_in_a_folder_with_a_long_path(tmp_path):
     folder = tmp_path / ("x" * 120)
     folder.mkdir()
     listener = channels.listen(folder)
     other = channels.connect(folder)
     assert channels.same_user(listener.accept()[0])
     listener.close()
-    again = channels.listen(folder)  # what a killed process leaves does not stand in the way
+    again = channels.listen(folder)  # a socket left behind by a killed process is replaced
     for sock in (other, again):
         sock.close()
 
 
-# Two real programs
+# Two real processes
 
 
 class Pair(Program):
-    """The program, and a second one started beside it."""
+    """The program, and a second process started as its successor."""
 
     def __init__(self, folder, batch=1):
         super().__init__(folder, batch)
@@ -230,7 +232,7 @@
         )
 
     async def second(self):
-        """Start it; it becomes the one that `log_line` and `say` go to."""
+        """Start the successor; `log_line` and `say` refer to it from now on."""
         self.others.append((self.process, self.control))
         self.process = await self.spawn()
         self.control = (await self.log_line("operators are answered on ")).rsplit(":", 1)[1].strip()
@@ -250,7 +252,7 @@
             await asyncio.sleep(0.02)
 
     async def upgrade(self):
-        """The second takes over; gives the first, which may still have calls out."""
+        """Let the successor take over; returns the old process, which may still have calls outstanding."""
         await self.second()
         await self.ready()
         old = self.others[-1][0]
@@ -285,28 +287,28 @@
         await asyncio.sleep(0.01)
 
 
-def test_an_upgrade_keeps_connections_messages_calls_and_bans(tmp_path):
+def test_an_upgrade_keeps_connections_messages_calls_and_detached_endpoints(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
         client, half = await pair.client(), await pair.client()
         assert await client.add(b"out", "pay", 24000) == b"+OK\r\n"
-        out = await pair.partner.next()  # a call that is out over the handover, of a message that is unsafe
-        half.writer.write(b"*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000")  # and a request that is half sent
+        out = await pair.partner.next()  # an unsafe call, outstanding during the handover
+        half.writer.write(b"*5\r\n$7\r\nOUT.ADD\r\n$16\r\n0000")  # a partly sent request
         await half.writer.drain()
         await pair.second()
         await pair.ready()
         old, old_control = pair.others[0]
-        assert await pair.say(b"DETACH e1") == b"ACK\n", "the ban did not reach the owner"
+        assert await pair.say(b"DETACH e1") == b"ACK\n", "the detach did not reach the owner"
         while (await pair.figures(old_control))["hosts_down"] != 1:
             await asyncio.sleep(0.01)
-        assert await client.add(b"held") == b"+OK\r\n"  # it waits for the endpoint that is out
+        assert await client.add(b"held") == b"+OK\r\n"  # it waits for the detached endpoint
         old.send_signal(signal.SIGTERM)
         await pair.log_line(" is ready on ")
         half.writer.write(b"000000000000\r\n$4\r\nhalf\r\n$20\r\nc=note,d=6000,dest=7\r\n$5\r\nhello\r\n")
-        assert await half.line() == b"+OK\r\n", "what was read of a request was lost"
-        assert await client.add(b"later") == b"+OK\r\n", "the connection was not passed on"
-        assert old.returncode is None, "the call that is out is not waited for"
-        assert await pair.say(b"ATTACH e1", old_control) == b"ACK\n", "the ban's end did not reach the owner"
+        assert await half.line() == b"+OK\r\n", "the part of a request that was read is lost"
+        assert await client.add(b"later") == b"+OK\r\n", "the connection was not handed over"
+        assert old.returncode is None, "the outstanding call is not waited for"
+        assert await pair.say(b"ATTACH e1", old_control) == b"ACK\n", "the attach did not reach the owner"
         out.answer(200)
         assert await asyncio.wait_for(old.wait(), 5.0) == 0
         seen = set()
@@ -314,20 +316,22 @@
             request = await pair.partner.next()
             seen.add(request.headers["x-correlation-id"])
             request.answer(200)
-        assert seen == {"held", "half", "later"}, "what was out was sent twice, or another not at all"
+        assert seen == {"held", "half", "later"}, (
+            "the outstanding message was sent twice, or another not at all"
+        )
         while (told := await pair.figures())["inflight"]:
             await asyncio.sleep(0.02)
         assert sum(told["success"].values()) == 4 and sum(told["failure"].values()) == 0
 
 
-def test_connections_that_wait_to_be_accepted_are_not_lost(tmp_path):
+def test_connections_waiting_to_be_accepted_are_not_lost(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
         await pair.second()
         await pair.ready()
         old, _ = pair.others[0]
-        old.send_signal(signal.SIGSTOP)  # it accepts nothing: all that come now wait in the queue
-        clients = [await pair.client() for _ in range(12)]  # of 20 messages that may be held
+        old.send_signal(signal.SIGSTOP)  # it accepts nothing: new connections wait in the queue
+        clients = [await pair.client() for _ in range(12)]  # fewer than the 20 messages that may be held
         for number, client in enumerate(clients):
             client.send(b"OUT.ADD", b"0" * 16, b"m%d" % number, b"c=note,d=6000,dest=7", b"hello")
         old.send_signal(signal.SIGTERM)
@@ -335,7 +339,7 @@
         assert [await client.line() for client in clients] == [b"+OK\r\n"] * 12
 
 
-def test_an_old_process_that_is_killed_leaves_its_queue_and_its_messages_to_the_new_one(tmp_path):
+def test_a_killed_incumbent_leaves_its_backlog_and_messages_to_the_successor(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
         client = await pair.client()
@@ -343,7 +347,7 @@
         await pair.partner.next()
         assert await client.add(b"pay", "pay", 24000) == b"+OK\r\n"
         while (await pair.partner.next()).headers["x-correlation-id"] != "pay":
-            pass  # on a crowded machine the safe one is tried again meanwhile
+            pass  # on a busy machine the safe one is retried meanwhile
         await pair.second()
         await pair.ready()
         old, _ = pair.others[0]
@@ -351,7 +355,7 @@
         waiting = await pair.client()
         waiting.send(b"PING")
         old.kill()
-        assert await waiting.line() == b"+PONG\r\n", "a connection that waited was reset"
+        assert await waiting.line() == b"+PONG\r\n", "a waiting connection was reset"
         assert await pair.notice() == {"ref": "pay", "result": "dead"}
         again = await pair.partner.next()
         assert again.headers["x-correlation-id"] == "safe"
@@ -359,7 +363,7 @@
 
 
 @pytest.mark.parametrize("when", ["before it is ready", "once it is ready"])
-def test_the_old_process_serves_on_where_the_new_one_dies(tmp_path, when):
+def test_the_incumbent_serves_on_if_the_successor_dies(tmp_path, when):
     @with_pair(tmp_path)
     async def _(pair):
         client = await pair.client()
@@ -372,14 +376,14 @@
             await pair.log_line("this process serves on")
         assert await client.add(b"m1") == b"+OK\r\n"
         (await pair.partner.next()).answer(200)
-        await pair.second()  # and the next upgrade goes through
+        await pair.second()  # the next upgrade succeeds
         await pair.ready()
         pair.others[0][0].send_signal(signal.SIGTERM)
         await pair.log_line(" is ready on ")
         assert await client.add(b"m2") == b"+OK\r\n"
 
 
-def test_a_new_process_that_dies_after_the_handover_leaves_all_to_a_plain_start(tmp_path):
+def test_a_successor_that_dies_after_the_handover_leaves_everything_to_a_plain_start(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
         client = await pair.client()
@@ -395,7 +399,7 @@
         again.answer(200)
 
 
-def test_what_is_out_when_the_old_process_dies_after_the_handover_may_have_run(tmp_path):
+def test_calls_outstanding_when_the_incumbent_dies_after_the_handover_may_have_run(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
         client = await pair.client()
@@ -404,7 +408,7 @@
         old = await pair.upgrade()
         old.kill()
         assert await pair.notice() == {"ref": "pay", "result": "dead"}
-        assert pair.partner.requests.empty(), "an unsafe message went twice"
+        assert pair.partner.requests.empty(), "an unsafe message was sent twice"
 
 
 def test_a_third_process_is_refused_while_an_upgrade_is_under_way(tmp_path):
@@ -421,7 +425,7 @@
         assert await client.add(b"m1") == b"+OK\r\n"
 
 
-def test_two_upgrades_in_a_row_with_a_call_out_through_both(tmp_path):
+def test_two_upgrades_in_a_row_with_a_call_outstanding_during_both(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
         client = await pair.client()
@@ -441,7 +445,7 @@
         assert sum(ends[0]["success"].values()) >= 1
 
 
-def test_a_broken_file_in_the_middle_of_an_upgrade_does_not_stop_it(tmp_path):
+def test_an_invalid_file_during_an_upgrade_does_not_stop_it(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
         client = await pair.client()
@@ -451,7 +455,7 @@
         assert await client.add(b"m1") == b"+OK\r\n"
 
 
-def test_a_holder_that_hands_nothing_over_is_waited_for(tmp_path):
+def test_a_holder_that_does_not_hand_over_is_waited_for(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
         (tmp_path / "state" / channels.SOCKET_NAME).unlink()
@@ -463,7 +467,7 @@
         assert await (await pair.client()).add(b"m1") == b"+OK\r\n"
 
 
-def test_a_crowd_of_connections_goes_over_within_the_descriptors(tmp_path):
+def test_many_connections_are_handed_over_within_the_descriptor_limit(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
         clients = [await pair.client() for _ in range(200)]
@@ -475,7 +479,7 @@
         assert await asyncio.wait_for(pair.others[0][0].wait(), 5.0) == 0
 
 
-def test_with_a_disk_that_takes_nothing_nothing_is_handed_over(tmp_path, monkeypatch):
+def test_nothing_is_handed_over_if_the_disk_is_full(tmp_path, monkeypatch):
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer()
@@ -487,12 +491,12 @@
         monkeypatch.setattr(bench.journal.files, "write", full)
         request.answer(200)
         await until(lambda: bench.journal.has_unwritten_records)
-        assert not await StateTransfer(bench.node).freeze(), "an end that no file has would be forgotten"
+        assert not await StateTransfer(bench.node).freeze(), "an outcome that is not journaled would be lost"
         monkeypatch.undo()
         assert await StateTransfer(bench.node).freeze()
 
 
-def test_once_it_has_handed_over_a_process_writes_nothing_and_takes_nothing(tmp_path):
+def test_after_the_handover_a_process_writes_and_accepts_nothing(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer()
@@ -518,19 +522,19 @@
         os.close(lock)
 
 
-def test_an_unsafe_call_that_is_out_for_longer_than_the_old_process_may_live_is_failed_once(tmp_path):
+def test_an_unsafe_call_that_outlasts_the_incumbent_fails_once(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
         client = await pair.client()
         assert await client.add(b"pay", "pay", 24000) == b"+OK\r\n"
         await pair.partner.next()
         old = await pair.upgrade()
-        assert await asyncio.wait_for(old.wait(), 10.0) == 0, "it did not end by itself"
+        assert await asyncio.wait_for(old.wait(), 10.0) == 0, "it did not exit by itself"
         assert await pair.notice() == {"ref": "pay", "result": "dead"}
         assert pair.partner.requests.empty()
 
 
-def test_a_ban_holds_over_an_upgrade_and_a_list_without_the_endpoint_and_with_it_again(tmp_path):
+def test_a_detach_survives_an_upgrade_and_the_removal_of_the_endpoint_from_the_list(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
         async def watch():
@@ -553,23 +557,23 @@
         client = await pair.client()
         assert await client.add(b"m1") == b"+OK\r\n"
         await asyncio.sleep(0.3)
-        assert pair.partner.requests.empty(), "the ban went with the list"
+        assert pair.partner.requests.empty(), "the detach was lost with the list"
         assert await pair.say(b"ATTACH e1") == b"ACK\n"
         (await pair.partner.next()).answer(200)
 
 
-def test_an_unsafe_call_that_the_old_process_sees_refused_is_sent_again_by_the_new_one(tmp_path):
+def test_an_unsafe_call_refused_at_the_incumbent_is_retried_by_the_successor(tmp_path):
     @with_pair(tmp_path)
     async def _(pair):
         client = await pair.client()
         assert await client.add(b"pay", "pay", 24000) == b"+OK\r\n"
         out = await pair.partner.next()
         await pair.upgrade()
-        out.answer(429, X_Come_Back_Ms="400")  # it never ran
+        out.answer(429, X_Come_Back_Ms="400")  # it did not run
         began = asyncio.get_running_loop().time()
         again = await pair.partner.next()
         assert again.headers["x-correlation-id"] == "pay"
         assert asyncio.get_running_loop().time() - began >= 0.39, (
-            "the wait that the old process heard was lost"
+            "the retry-after that the old process received was lost"
         )
         again.answer(200)
