--- a/tests/test_succession_kills.py
+++ b/tests/test_succession_kills.py
@@ -1,5 +1,5 @@
-"""An upgrade in which either process is killed at each step that it tells of: every message has one end, and
-what must not run twice is called once."""
+"""Upgrades in which either process is killed at each step that it logs: every message has one outcome, and
+unsafe messages are called once."""
 
 import asyncio
 import json
@@ -9,17 +9,17 @@
 from doubles import run
 from test_succession import Pair
 
-OLD = ["a successor has come", "a successor is ready", "hands over,", "handed over,"]
-NEW = ["operators are answered on", "ready to take over", " is ready on "]
+OLD_STEPS = ["a successor has come", "a successor is ready", "hands over,", "handed over,"]
+NEW_STEPS = ["operators are answered on", "ready to take over", " is ready on "]
 
 
-class Story:
-    """Both processes' logs, and the kill at a word of one of them."""
+class UpgradeLogs:
+    """Collects the logs of both processes, and kills one when its log has the text `trigger`."""
 
-    def __init__(self, killed, word):
-        self.killed, self.word = killed, word
+    def __init__(self, killed, trigger):
+        self.killed, self.trigger = killed, trigger
         self.seen, self.tasks = {"old": [], "new": []}, []
-        self.struck = asyncio.Event()
+        self.fired = asyncio.Event()
 
     def follow(self, name, process):
         self.tasks.append(asyncio.ensure_future(self.read(name, process)))
@@ -27,17 +27,17 @@
     async def read(self, name, process):
         while line := (await process.stderr.readline()).decode():
             self.seen[name].append(line)
-            if name == self.killed and self.word in line and not self.struck.is_set():
+            if name == self.killed and self.trigger in line and not self.fired.is_set():
                 process.kill()
-                self.struck.set()
+                self.fired.set()
 
-    async def told(self, name, word):
-        while not any(word in line for line in self.seen[name]):
+    async def wait_for_line(self, name, trigger):
+        while not any(trigger in line for line in self.seen[name]):
             await asyncio.sleep(0.01)
 
 
-@pytest.mark.parametrize("killed, word", [("old", w) for w in OLD] + [("new", w) for w in NEW])
-def test_a_kill_at_a_step_loses_nothing_and_repeats_nothing_unsafe(killed, word, tmp_path):
+@pytest.mark.parametrize("killed, trigger", [("old", w) for w in OLD_STEPS] + [("new", w) for w in NEW_STEPS])
+def test_a_kill_at_any_step_loses_nothing_and_repeats_nothing_unsafe(killed, trigger, tmp_path):
     async def work():
         pair = await Pair(tmp_path).start_doubles()
         await pair.start()
@@ -49,7 +49,7 @@
                 name = request.headers["x-correlation-id"]
                 calls.append(name)
                 if name != "pay" and calls.count(name) > 1:
-                    request.answer(200)  # the first call of each stays out over the upgrade
+                    request.answer(200)  # the first call of each stays outstanding during the upgrade
 
         async def platform():
             while True:
@@ -58,8 +58,8 @@
                     notices.extend(json.loads(line)["ref"] for line in request.body.splitlines())
                     request.answer(204)
 
-        beside = [asyncio.ensure_future(partner()), asyncio.ensure_future(platform())]
-        story = Story(killed, word)
+        double_tasks = [asyncio.ensure_future(partner()), asyncio.ensure_future(platform())]
+        logs = UpgradeLogs(killed, trigger)
         try:
             client = await pair.client()
             assert await client.add(b"note") == b"+OK\r\n"
@@ -67,32 +67,32 @@
             while len(calls) < 2:
                 await asyncio.sleep(0.01)
             old = pair.process
-            story.follow("old", old)
+            logs.follow("old", old)
             new = await pair.spawn()
             pair.others = [(old, None), (new, None)]
-            story.follow("new", new)
+            logs.follow("new", new)
             waits = [
                 asyncio.ensure_future(w)
-                for w in (story.told("new", "ready to take over"), story.struck.wait())
+                for w in (logs.wait_for_line("new", "ready to take over"), logs.fired.wait())
             ]
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
             if old.returncode is None:
                 old.send_signal(signal.SIGTERM)
-            await asyncio.wait_for(story.struck.wait(), 5.0)
+            await asyncio.wait_for(logs.fired.wait(), 5.0)
             await asyncio.wait(
                 [asyncio.ensure_future(p.wait()) for p in (old, *([new] if killed == "new" else []))]
             )
             if killed == "new":
-                await pair.start()  # the old one has ended too: a plain start
+                await pair.start()  # the old one has ended too: plain start
             else:
-                await story.told("new", " is ready on ")
+                await logs.wait_for_line("new", " is ready on ")
             while calls.count("note") < 2 or "pay" not in notices:
                 await asyncio.sleep(0.02)
             await asyncio.sleep(0.2)
-            assert calls.count("pay") == 1, "an unsafe message went twice"
+            assert calls.count("pay") == 1, "an unsafe message was sent twice"
             assert notices.count("pay") == 1 and "note" not in notices
         finally:
-            for task in (*beside, *story.tasks):
+            for task in (*double_tasks, *logs.tasks):
                 task.cancel()
             await pair.end()
 
