--- a/tests/test_unheard_elsewhere.py
+++ b/tests/test_unheard_elsewhere.py
@@ -1,4 +1,4 @@
-"""Words that one side did not hear: the other must not take "written" for "heard"."""
+"""Lost notices, replies and frames: a sender must not take "written" for "received"."""
 
 import asyncio
 import json
@@ -26,8 +26,8 @@
 # Notices
 
 
-def test_a_second_end_of_a_message_told_while_the_first_is_on_its_way_is_told_too():
-    # The platform's 204 for the first was taken for its word on the second, which was never sent.
+def test_a_second_notice_for_a_message_is_sent_after_the_first_in_flight():
+    # The 204 for the first notice was taken as the answer to the second, which was then never sent.
     async def work():
         platform = await Peer().start()
         heard = []
@@ -39,7 +39,7 @@
         first.answer(204)
         second = await platform.next()
         assert json.loads(second.body) == {"ref": "m1", "result": "dead"}
-        assert heard == [], "the first 204 stood for both"
+        assert heard == [], "the first 204 counted for both"
         second.answer(204)
         await notices.empty.wait()
         assert heard == [1]
@@ -48,8 +48,8 @@
     run(work())
 
 
-def test_a_platform_that_answers_late_is_heard_sometime(monkeypatch):
-    # It heard each time; each of its answers came after its connection had been closed, for ever.
+def test_a_late_answer_of_the_platform_is_eventually_received(monkeypatch):
+    # Each answer came after its connection had been closed, so the notice was repeated for ever.
     monkeypatch.setattr(discovery, "NOTICE_S", 0.02)
     monkeypatch.setattr(discovery, "NOTICE_TOP_S", 0.1)
 
@@ -72,8 +72,8 @@
     run(work())
 
 
-def test_a_notice_that_could_not_be_read_is_told_again(monkeypatch):
-    # After two 400s, as of a platform in trouble, it was given up: the message had no end until a restart.
+def test_a_notice_that_was_rejected_is_sent_again(monkeypatch):
+    # After two 400s, as from a failing platform, it was dropped: the message had no outcome until a restart.
     monkeypatch.setattr(discovery, "NOTICE_ASIDE_S", 0.3)
 
     async def work():
@@ -83,10 +83,12 @@
         task = asyncio.get_running_loop().create_task(notices.run())
         for number in range(10):
             notices.add(number, b"m%d" % number, "dead", 0.0)
-        (await platform.next()).answer(400)  # all together
+        (await platform.next()).answer(400)  # all in one post
         for number in range(9):
             request = await platform.next()
-            assert json.loads(request.body)["ref"] == f"m{number}", "they go one by one until it is found"
+            assert json.loads(request.body)["ref"] == f"m{number}", (
+                "they are sent one by one until the bad one is found"
+            )
             request.answer(204)
         (await platform.next()).answer(400)
         await notices.empty.wait()
@@ -100,8 +102,8 @@
     run(work())
 
 
-def test_a_notice_whose_post_was_cut_off_goes_again_as_the_platform_is_taken_up_again():
-    # A handover stops the notices; where it cannot be done, those under way were never sent again.
+def test_a_notice_that_was_interrupted_is_sent_again_after_a_restart_of_the_connection():
+    # A handover stops the notices; if it failed, notices in flight were never sent again.
     async def work():
         peer = await Peer().start()
         watch = Watch(peer.address, 41, lambda news: None, random.Random(1))
@@ -122,13 +124,13 @@
 # The CloudEvents front
 
 
-def test_an_event_whose_poster_left_unheard_runs_once_at_its_dispatcher_and_anew_at_another(tmp_path):
-    # The page for clients said that it never runs twice: its identity answers for it at one dispatcher only.
+def test_an_event_whose_client_disconnected_runs_once_per_dispatcher(tmp_path):
+    # Events are deduplicated by identity at one dispatcher only; another one runs them again.
     async def work():
         seen = []
         fronts = [await Front().start(folder) for folder in folders]
         serving = [asyncio.get_running_loop().create_task(serve(front, seen)) for front in fronts]
-        for at in range(12):  # some are withdrawn, some are sent on
+        for at in range(12):  # some are withdrawn, some are delivered
             client = await fronts[0].connect()
             client.binary(id=f"e{at}")
             await asyncio.sleep((0.0, 0.003, 0.007)[at % 3])
@@ -161,8 +163,8 @@
 # One process takes over from another
 
 
-def test_one_word_that_cannot_be_carried_out_does_not_end_the_new_process():
-    # What came before it was ready was followed without a guard: it died with all that it had been given.
+def test_a_frame_that_cannot_be_handled_does_not_end_the_successor():
+    # Errors on frames queued before it was ready were not caught: it died with everything it had been given.
     async def work():
         takeover = Takeover(None, lambda listed, down: None)
         adopted = []
@@ -179,13 +181,13 @@
         other.send(told, [os.dup(client.fileno())])
         await until(lambda: takeover.inbox.qsize() == 2)
         takeover.go_on()
-        assert len(adopted) == 1, "the client's connection behind it was dropped"
+        assert len(adopted) == 1, "the client connection that followed was dropped"
 
     run(work())
 
 
-class OldProcess:
-    """The old one's side of an upgrade over a node of this process; the test plays the new one."""
+class IncumbentDouble:
+    """The incumbent's side of an upgrade over a node in this process; the test plays the successor."""
 
     def __init__(self, bench, folder):
         self.transfer, operators, self.control_handler = (
@@ -219,28 +221,28 @@
             os.close(fd)
 
 
-def test_a_ban_that_crosses_the_handover_is_carried_out_by_the_process_that_owns_all(tmp_path):
-    # The old one wrote it into a folder that it had given away and said ACK: it was in force nowhere.
+def test_a_detach_that_crosses_the_handover_is_run_by_the_owner(tmp_path):
+    # The incumbent wrote it into a folder that it no longer owned and answered ACK: it had no effect.
     @with_bench(tmp_path)
     async def _(bench):
-        old = OldProcess(bench, tmp_path)
+        old = IncumbentDouble(bench, tmp_path)
         await old.promised()
         assert await old.transfer.freeze()
         lock, _ = old.transfer.relinquish(lambda result: None, lambda message, why: None)
-        old.new.send({"t": "ask", "n": 7, "line": "DETACH e1"})  # sent before the new one heard `yield`
+        old.new.send({"t": "ask", "n": 7, "line": "DETACH e1"})  # sent before the successor received `yield`
         told, _ = await old.next()
-        assert (told["t"], told.get("line")) == ("ask", "DETACH e1"), "it was not passed back to the owner"
-        assert DetachedEndpoints(bench.journal).ids == set(), "a folder was written that is another process's"
+        assert (told["t"], told.get("line")) == ("ask", "DETACH e1"), "it was not sent back to the owner"
+        assert DetachedEndpoints(bench.journal).ids == set(), "wrote to a folder that another process owns"
         old.new.send({"t": "said", "n": told["n"], "text": "ACK\n"})
         assert (await old.next())[0] == {"t": "said", "n": 7, "text": "ACK\n"}
         old.end(lock)
 
 
-def test_a_ban_that_comes_behind_sigterm_is_not_lost_on_its_way_to_a_process_that_owns_nothing_yet(tmp_path):
-    # It was passed on before `yield`: the new one drops what it does not wait for, and nobody answered.
+def test_a_detach_after_sigterm_is_not_relayed_before_the_successor_owns_the_state(tmp_path):
+    # It was relayed before `yield`: the successor drops frames that it does not expect, and nobody answered.
     @with_bench(tmp_path)
     async def _(bench):
-        old = OldProcess(bench, tmp_path)
+        old = IncumbentDouble(bench, tmp_path)
         await old.promised()
         frozen, freeze = asyncio.Event(), old.transfer.freeze
 
@@ -255,7 +257,7 @@
         going = loop.create_task(old.handover.hand_over(loop.time() + 1.0))
         await asyncio.sleep(0)
         assert old.control_handler.answer(b"DETACH e1\n") == b"ACK\n"
-        assert DetachedEndpoints(bench.journal).ids == {"e1"}, "the new process does not find it"
+        assert DetachedEndpoints(bench.journal).ids == {"e1"}, "the successor does not find it"
         frozen.set()
         told, fds = await old.next()
         assert told["t"] == "yield"
