--- a/tests/test_upgrade_leavers.py
+++ b/tests/test_upgrade_leavers.py
@@ -1,4 +1,4 @@
-"""Clients that leave around a handover without having read their answers."""
+"""Clients that disconnect around a handover without having read their answers."""
 
 import asyncio
 import signal
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("leave_ms", [3, 5, 10])
-def test_what_clients_handed_in_that_leave_around_the_handover_is_not_sent_on(tmp_path, leave_ms):
+def test_messages_of_clients_that_disconnect_around_the_handover_are_not_sent(tmp_path, leave_ms):
     @with_pair(tmp_path)
     async def _(pair):
         clients = [await pair.client() for _ in range(20)]
@@ -18,12 +18,12 @@
         await pair.ready()
         assert (
             await pair.say(b"DETACH e1") == b"ACK\n"
-        )  # what is accepted is held: none is sent by the old one
+        )  # accepted messages are held: the incumbent sends none
         old = pair.others[0][0]
         for client in clients:
-            client.writer.transport.pause_reading()  # none ever reads its answer
-        for at, client in enumerate(clients):
-            client.send(b"OUT.ADD", b"0" * 16, b"gone%d" % at, b"c=note,d=6000,dest=7", b"x")
+            client.writer.transport.pause_reading()  # never reads its answer
+        for number, client in enumerate(clients):
+            client.send(b"OUT.ADD", b"0" * 16, b"gone%d" % number, b"c=note,d=6000,dest=7", b"x")
         old.send_signal(signal.SIGTERM)
         await asyncio.sleep(leave_ms / 1000)
         for client in clients:
@@ -41,5 +41,5 @@
                     request.answer(200)
         except TimeoutError:
             pass
-        print(f"left {leave_ms} ms behind: {seen} sent on")
+        print(f"disconnected {leave_ms} ms after SIGTERM: {seen} sent")
         assert seen == 0
