--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -59,24 +59,23 @@
 
 log = logging.getLogger("rushhitch")
 
-ACCEPT_PERIOD_S = 0.6  # after SIGTERM, how long new connections are still accepted: clients go on connecting
-CONNECTION_GRACE_S = (
-    2.0  # after SIGTERM, how long connections are kept: their clients would crowd other dispatchers
-)
-SHUTDOWN_DEADLINE_S = 3.3  # after SIGTERM, until shutdown: messages still open then stay in the journal
-RESERVED_DESCRIPTORS = (
-    48  # descriptors reserved from clients and endpoints: some 12 for the process itself (log, loop,
-)
-# lock, listeners, newest segment), 2 for the watch and notices, 2 for files being replaced or reread, and
-# 2 * `MAX_ACCEPTS_PER_STEP` for clients that are being rejected or evicted
-CONTROL_DESCRIPTORS = MAX_CONNECTIONS + 4  # for operators and a successor, with a control address
-CLIENT_SHARE = 1 / 3  # of the descriptors that client connections may hold
-MIN_CONNECTIONS = 4  # least number of descriptors for clients, and for endpoints
-PARTIAL_REQUESTS_SHARE = 0.1  # of the memory that partly received requests may take
-SETTINGS_FILE = "settings"  # file in the state folder with the history of settings
-STATUS_INTERVAL_S = 2.0  # interval of status lines in the log
-FLEET_SIZE_INTERVAL_S = 0.5  # interval of updates of the number of active dispatchers, with membership
+# Seconds after SIGTERM. Clients go on connecting for a while; connections are closed only later, since their
+# clients would crowd the other dispatchers.
+ACCEPT_PERIOD_S = 0.6  # new connections are accepted
+CONNECTION_GRACE_S = 2.0  # connections are kept
+SHUTDOWN_DEADLINE_S = 3.3  # messages still open then stay in the journal
+# Descriptors kept from clients and endpoints: some 12 for the process itself (log, loop, lock, listeners,
+# newest segment), 2 for the watch and notices, 2 for files being replaced or reread, and
+# 2 * `MAX_ACCEPTS_PER_STEP` for clients that are being rejected or evicted.
+RESERVED_DESCRIPTORS = 48
+CONTROL_DESCRIPTORS = MAX_CONNECTIONS + 4  # kept for operators and a successor, with a control address
+CLIENT_SHARE = 1 / 3  # of the descriptors, at most for clients' requests
 SPARE_CLIENTS = 24  # descriptors beyond `CLIENT_SHARE` for clients that are being rejected
+MIN_CONNECTIONS = 4  # for clients, and for endpoints, however few descriptors there are
+PARTIAL_REQUESTS_SHARE = 0.1  # of the memory, at most for partly received requests
+SETTINGS_FILE = "settings"  # with their history, in the state folder
+STATUS_INTERVAL_S = 2.0  # between status lines in the log
+FLEET_SIZE_INTERVAL_S = 0.5  # between updates of the number of active dispatchers, with membership
 
 
 async def serve(configuration: Configuration, forward: bool = False) -> None:
@@ -135,7 +134,7 @@
         self.loop = asyncio.get_running_loop()
         self.journal = journal = inheritance.journal
         detached, settings_store = DetachedEndpoints(journal), SettingsStore(journal)
-        most_clients, most_connections = connection_limits(configuration)
+        max_clients, max_connections = connection_limits(configuration)
         self.notices = NoticeSender(configuration.discovery, lambda number: node.notice_heard(number))
         codecs = partner_codecs(configuration.deployment)
         check_classes(configuration)
@@ -145,7 +144,7 @@
             Dispatcher(settings, configuration.seed),
             journal,
             self.notices.add,
-            most_connections,
+            max_connections,
             codecs,
             configuration.deployment.events.remember_s
             if configuration.deployment.events is not None
@@ -160,7 +159,7 @@
         node.sinks = make_sinks(configuration)
         self.planners = make_planners(node, configuration) if forward else None
         self.clients = ConnectionManager(
-            node, most_clients, int(PARTIAL_REQUESTS_SHARE * configuration.memory_bytes)
+            node, max_clients, int(PARTIAL_REQUESTS_SHARE * configuration.memory_bytes)
         )
         known = configuration.known
         if inheritance.handover_state is not None:
@@ -281,9 +280,9 @@
         be active."""
         assert self.member is not None, "called only with membership"
         self.fleet_size_timer = self.loop.call_later(FLEET_SIZE_INTERVAL_S, self.update_fleet_size)
-        most = self.member.bounds(self.loop.time()).most
-        self.node.resize(most)
-        self.watch.schedule.resize(most)
+        max_active = self.member.bounds(self.loop.time()).most
+        self.node.resize(max_active)
+        self.watch.schedule.resize(max_active)
 
     def hand_over_membership(self) -> dict[str, Any]:
         """Stop as a member without a leave: the successor goes on as the same member in a higher
