--- a/rushhitch/cli.py
+++ b/rushhitch/cli.py
@@ -1,4 +1,4 @@
-"""The subcommands of `python -m rushhitch`; with no words it is the dispatcher."""
+"""The subcommands of `python -m rushhitch`; without arguments it runs the dispatcher."""
 
 from __future__ import annotations
 
