--- a/tests/doubles.py
+++ b/tests/doubles.py
@@ -21,7 +21,7 @@
 from rushhitch.journal import Journal, answers
 
 ROOT = Path(__file__).parent.parent
-NOTED_S = 2.0  # recording an answer takes microseconds on an idle machine
+RECORDING_TIMEOUT_S = 2.0  # recording an answer takes microseconds on an idle machine
 TEST_TIMEOUT_S = 30.0  # generous: reached only if something is broken
 
 
@@ -108,7 +108,7 @@
 WORTH = {"lateWorth": 0.1, "value": 1.0}
 
 
-def noted(data: bytes) -> bool:
+def all_recorded(data: bytes) -> bool:
     """Whether every answer is recorded, by the marks of the answers file."""
     answered, answering = answers.MARKS.unpack_from(data, answers.MARKS_AT)
     return answered == answering
@@ -199,8 +199,8 @@
         doubt (`test_kill_points`, `test_request_lifecycle`)."""
         marks = self.folder / "state" / answers.NAME
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(NOTED_S):
-                while marks.exists() and not noted(marks.read_bytes()):
+            async with asyncio.timeout(RECORDING_TIMEOUT_S):
+                while marks.exists() and not all_recorded(marks.read_bytes()):
                     await asyncio.sleep(0.001)
 
     def journal(self) -> Journal:
@@ -261,5 +261,5 @@
     async def add(
         self, name: bytes, cls: str = "note", left_ms: int = 6000, body: bytes = b"hello", dest: int = 7
     ) -> bytes:
-        told = f"c={cls},d={left_ms},dest={dest}".encode()
-        return await self.ask(b"OUT.ADD", b"0" * 16, name, told, body)
+        parameters = f"c={cls},d={left_ms},dest={dest}".encode()
+        return await self.ask(b"OUT.ADD", b"0" * 16, name, parameters, body)
