--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -149,22 +149,22 @@
 
 def test_the_channel_carries_long_frames_with_descriptors_in_order_before_its_end():
     async def work():
-        heard = asyncio.Queue()
-        left, right, lost = pair(lambda *news: None, lambda told, fds: heard.put_nowait((told, fds)))
+        received = asyncio.Queue()
+        left, right, lost = pair(lambda *update: None, lambda frame, fds: received.put_nowait((frame, fds)))
         inside, outside = os.pipe()
         left.send({"long": "x" * 400_000}, [outside])
         for n in range(300):
             left.send({"n": n})
-        told, fds = await heard.get()
-        assert len(told["long"]) == 400_000 and len(fds) == 1
+        frame, fds = await received.get()
+        assert len(frame["long"]) == 400_000 and len(fds) == 1
         os.write(fds[0], b"through")
         assert os.read(inside, 7) == b"through"
-        assert [(await heard.get())[0]["n"] for _ in range(300)] == list(range(300))
+        assert [(await received.get())[0]["n"] for _ in range(300)] == list(range(300))
         await left.drained.wait()
         left.send({"last": 1})
         left.close()
         await lost[1].wait()
-        assert (await heard.get())[0] == {"last": 1}
+        assert (await received.get())[0] == {"last": 1}
         for fd in (inside, *fds):
             os.close(fd)
 
@@ -173,12 +173,12 @@
 
 def test_a_malformed_frame_does_not_end_the_channel():
     async def work():
-        heard = asyncio.Queue()
-        left, right, _ = pair(lambda *news: None, lambda told, fds: heard.put_nowait(told))
+        received = asyncio.Queue()
+        left, right, _ = pair(lambda *update: None, lambda frame, fds: received.put_nowait(frame))
         for data in (b"\x00{", b"\x00[]", b'\x00{"t":"ready"}'):
             left.sock.send(data)
-        assert await heard.get() == {"t": "ready"}
-        assert heard.empty()
+        assert await received.get() == {"t": "ready"}
+        assert received.empty()
         left.close()
         right.close()
 
@@ -240,9 +240,9 @@
     async def say(self, line, control=None):
         reader, writer = await asyncio.open_connection("127.0.0.1", int(control or self.control))
         writer.write(line + b"\n")
-        said = await reader.read()
+        reply = await reader.read()
         writer.close()
-        return said
+        return reply
 
     async def figures(self, control=None):
         return json.loads((await self.say(b"INFO", control)).split(b"\n")[0])
@@ -319,9 +319,9 @@
         assert seen == {"held", "half", "later"}, (
             "the outstanding message was sent twice, or another not at all"
         )
-        while (told := await pair.figures())["inflight"]:
+        while (metrics := await pair.figures())["inflight"]:
             await asyncio.sleep(0.02)
-        assert sum(told["success"].values()) == 4 and sum(told["failure"].values()) == 0
+        assert sum(metrics["success"].values()) == 4 and sum(metrics["failure"].values()) == 0
 
 
 def test_connections_waiting_to_be_accepted_are_not_lost(tmp_path):
@@ -503,11 +503,11 @@
         request = await bench.partner.next()
         assert await StateTransfer(bench.node).freeze()
         results, abandoned = [], []
-        lock, told = StateTransfer(bench.node).relinquish(
+        lock, state = StateTransfer(bench.node).relinquish(
             results.append, lambda message, why: abandoned.append(message)
         )
         held = {path: path.read_bytes() for path in (tmp_path / "state").iterdir() if path.is_file()}
-        assert [loan[:3] for loan in told["loans"]] == [(1, 0, "e1")]
+        assert [loan[:3] for loan in state["loans"]] == [(1, 0, "e1")]
         bench.node.offer(Submission(b"m2", "note", 7, 6000.0, b""), bench.answers.put_nowait)
         bench.node.withdraw(1)
         bench.node.abandon(1, "its client has gone")
@@ -547,11 +547,11 @@
         await watch()
         assert await pair.say(b"DETACH e1") == b"ACK\n"
         await pair.upgrade()
-        news = await watch()
-        news.chunk(json.dumps({"version": 50, "full": False, "servers": [row | {"state": "DELETED"}]}))
+        update = await watch()
+        update.chunk(json.dumps({"version": 50, "full": False, "servers": [row | {"state": "DELETED"}]}))
         while (await pair.figures())["hosts_listed"]:
             await asyncio.sleep(0.01)
-        news.chunk(json.dumps({"version": 51, "full": False, "servers": [row]}))
+        update.chunk(json.dumps({"version": 51, "full": False, "servers": [row]}))
         while (await pair.figures())["hosts_listed"] != 1:
             await asyncio.sleep(0.01)
         client = await pair.client()
