--- a/tests/test_unheard_elsewhere.py
+++ b/tests/test_unheard_elsewhere.py
@@ -30,8 +30,8 @@
     # The 204 for the first notice was taken as the answer to the second, which was then never sent.
     async def work():
         platform = await Peer().start()
-        heard = []
-        notices = NoticeSender(platform.address, heard.append)
+        received = []
+        notices = NoticeSender(platform.address, received.append)
         task = asyncio.get_running_loop().create_task(notices.run())
         notices.add(1, b"m1", "bounced", 500.0)
         first = await platform.next()
@@ -39,10 +39,10 @@
         first.answer(204)
         second = await platform.next()
         assert json.loads(second.body) == {"ref": "m1", "result": "dead"}
-        assert heard == [], "the first 204 counted for both"
+        assert received == [], "the first 204 counted for both"
         second.answer(204)
         await notices.empty.wait()
-        assert heard == [1]
+        assert received == [1]
         task.cancel()
 
     run(work())
@@ -55,12 +55,12 @@
 
     async def work():
         platform = await Peer().start()
-        heard = asyncio.Queue()
-        notices = NoticeSender(platform.address, heard.put_nowait)
+        received = asyncio.Queue()
+        notices = NoticeSender(platform.address, received.put_nowait)
         loop = asyncio.get_running_loop()
         tasks = [loop.create_task(notices.run()), loop.create_task(late(platform))]
         notices.add(1, b"m1", "dead", 0.0)
-        assert await asyncio.wait_for(heard.get(), 5.0) == 1
+        assert await asyncio.wait_for(received.get(), 5.0) == 1
         for task in tasks:
             task.cancel()
 
@@ -78,8 +78,8 @@
 
     async def work():
         platform = await Peer().start()
-        heard = asyncio.Queue()
-        notices = NoticeSender(platform.address, heard.put_nowait)
+        received = asyncio.Queue()
+        notices = NoticeSender(platform.address, received.put_nowait)
         task = asyncio.get_running_loop().create_task(notices.run())
         for number in range(10):
             notices.add(number, b"m%d" % number, "dead", 0.0)
@@ -96,7 +96,7 @@
         assert json.loads(request.body)["ref"] == "m9"
         request.answer(204)
         await notices.empty.wait()
-        assert heard.qsize() == 10
+        assert received.qsize() == 10
         task.cancel()
 
     run(work())
@@ -106,7 +106,7 @@
     # A handover stops the notices; if it failed, notices in flight were never sent again.
     async def work():
         peer = await Peer().start()
-        watch = Watch(peer.address, 41, lambda news: None, random.Random(1))
+        watch = Watch(peer.address, 41, lambda update: None, random.Random(1))
         notices = NoticeSender(peer.address, lambda number: None)
         platform = PlatformClient(watch, notices)
         platform.start()
@@ -168,17 +168,17 @@
     async def work():
         takeover = Takeover(None, lambda listed, down: None)
         adopted = []
-        takeover.adopt = lambda sock, *told: adopted.append(sock)
+        takeover.adopt = lambda sock, *frame: adopted.append(sock)
 
-        def unknown(told):
+        def unknown(frame):
             raise ValueError("no such outcome")
 
         takeover.on_attempt_ended = unknown
-        takeover.channel, other, _ = pair(takeover.handle_frame, lambda told, fds: None)
+        takeover.channel, other, _ = pair(takeover.handle_frame, lambda frame, fds: None)
         client, _ = socket.socketpair()
         other.send({"t": "ended", "message": 1, "attempt": 0, "outcome": 99})
-        told = {"t": "client", "front": "resp2", "tail": "", "asked": True, "heard_at": 0.0}
-        other.send(told, [os.dup(client.fileno())])
+        frame = {"t": "client", "front": "resp2", "tail": "", "asked": True, "heard_at": 0.0}
+        other.send(frame, [os.dup(client.fileno())])
         await until(lambda: takeover.inbox.qsize() == 2)
         takeover.go_on()
         assert len(adopted) == 1, "the client connection that followed was dropped"
@@ -198,10 +198,10 @@
         clients = ConnectionManager(bench.node, 16)
         operate = self.control_handler.become_owner(operators)
         self.handover = Handover(folder, self.transfer, operators, clients, lambda: 41, operate)
-        self.heard = asyncio.Queue()
+        self.received = asyncio.Queue()
         left, self.new, _ = pair(
-            lambda told, fds: self.handover.handle_frame(left, told, fds),
-            lambda told, fds: self.heard.put_nowait((told, fds)),
+            lambda frame, fds: self.handover.handle_frame(left, frame, fds),
+            lambda frame, fds: self.received.put_nowait((frame, fds)),
         )
         self.channel = left
 
@@ -212,7 +212,7 @@
         assert (await self.next())[0]["t"] == "promised"
 
     async def next(self):
-        return await asyncio.wait_for(self.heard.get(), 2.0)
+        return await asyncio.wait_for(self.received.get(), 2.0)
 
     def end(self, *fds):
         self.channel.close()
@@ -230,10 +230,10 @@
         assert await old.transfer.freeze()
         lock, _ = old.transfer.relinquish(lambda result: None, lambda message, why: None)
         old.new.send({"t": "ask", "n": 7, "line": "DETACH e1"})  # sent before the successor received `yield`
-        told, _ = await old.next()
-        assert (told["t"], told.get("line")) == ("ask", "DETACH e1"), "it was not sent back to the owner"
+        frame, _ = await old.next()
+        assert (frame["t"], frame.get("line")) == ("ask", "DETACH e1"), "it was not sent back to the owner"
         assert DetachedEndpoints(bench.journal).ids == set(), "wrote to a folder that another process owns"
-        old.new.send({"t": "said", "n": told["n"], "text": "ACK\n"})
+        old.new.send({"t": "said", "n": frame["n"], "text": "ACK\n"})
         assert (await old.next())[0] == {"t": "said", "n": 7, "text": "ACK\n"}
         old.end(lock)
 
@@ -259,11 +259,11 @@
         assert old.control_handler.answer(b"DETACH e1\n") == b"ACK\n"
         assert DetachedEndpoints(bench.journal).ids == {"e1"}, "the successor does not find it"
         frozen.set()
-        told, fds = await old.next()
-        assert told["t"] == "yield"
+        frame, fds = await old.next()
+        assert frame["t"] == "yield"
         passed_on = old.control_handler.answer(b"ATTACH e1\n")
-        told, _ = await old.next()
-        old.new.send({"t": "said", "n": told["n"], "text": "ACK\n"})
+        frame, _ = await old.next()
+        old.new.send({"t": "said", "n": frame["n"], "text": "ACK\n"})
         assert await passed_on == b"ACK\n"
         assert await going
         old.end(*fds)
