--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -10,8 +10,8 @@
 SLACK_MS = 50.0
 STEPPED = """import pathlib, time
 
-plain, told = time.time, pathlib.Path(__file__).with_name("step")
-time.time = lambda: plain() + (float(told.read_text()) if told.exists() else 0.0)
+real_time, offset_file = time.time, pathlib.Path(__file__).with_name("step")
+time.time = lambda: real_time() + (float(offset_file.read_text()) if offset_file.exists() else 0.0)
 """
 
 
@@ -54,9 +54,11 @@
         deadline = await submit(program, 500)
         await restart(program, step_s)
         request = await program.partner.next()
-        told = float(request.headers["x-time-left-ms"])
+        stated_ms = float(request.headers["x-time-left-ms"])
         assert request.headers["x-correlation-id"] == "m1"
-        assert 0.0 < told <= left_ms(deadline) + SLACK_MS + 100.0  # the call must not outlast the deadline
+        assert (
+            0.0 < stated_ms <= left_ms(deadline) + SLACK_MS + 100.0
+        )  # the call must not outlast the deadline
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
