--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -153,7 +153,7 @@
             settings_store.history,
         )
         node.ahead_s = steady_clock_offset_s(journal, time.time(), time.monotonic(), boot_id())
-        settings_store.take(configuration, node)
+        settings_store.apply_at_start(configuration, node)
         self.settings_store = settings_store
         self.handshake = make_handshake(node, configuration.deployment)
         node.sinks = make_sinks(configuration)
@@ -265,8 +265,11 @@
             transfer.fail_inherited_attempts,
         )
         takeover.abandon = node.abandon
-        takeover.relay.operate, node.cancel_inherited = self.handover.relay.operate, takeover.cancel_inherited
-        takeover.go_on()
+        takeover.relay.run_command, node.cancel_inherited = (
+            self.handover.relay.run_command,
+            takeover.cancel_inherited,
+        )
+        takeover.start_following()
 
     def log_status(self, before: dict[str, int] | None = None) -> None:
         """Log the status periodically if it changed, so that the last line before a kill shows it."""
@@ -597,9 +600,9 @@
     """The history of settings, stored in a file: messages keep their settings across restarts."""
 
     def __init__(self, journal: Journal) -> None:
-        self.journal, self.side = journal, SidecarFile(journal, SETTINGS_FILE)
+        self.journal, self.file = journal, SidecarFile(journal, SETTINGS_FILE)
         try:
-            self.history = SettingsHistory.decode(self.side.load())
+            self.history = SettingsHistory.decode(self.file.load())
         except ValueError as error:
             log.error("%s: open messages get the current settings", error)
             self.history = SettingsHistory()
@@ -608,14 +611,14 @@
         oldest = min(self.journal.live, default=since)
         return self.history.with_change(configuration.raw, configuration.settings, since).pruned(oldest)
 
-    def take(self, configuration: Configuration, node: Node) -> None:
-        """At start: the file's settings apply to new messages."""
+    def apply_at_start(self, configuration: Configuration, node: Node) -> None:
+        """The file's settings apply to new messages."""
         self.keep(self.history_with(configuration, node.numbers + 1), node)
 
     def keep(self, history: SettingsHistory, node: Node) -> None:
         self.history = node.history = history
         try:
-            self.side.store(history.encode())
+            self.file.store(history.encode())
         except OSError as error:
             log.error("current settings were not stored, a restart will use the file alone: %s", error)
 
@@ -649,10 +652,10 @@
     def answer(self, line: bytes) -> bytes | asyncio.Future[bytes]:
         if self.relay is not None:
             try:
-                passes_on = TAKES_ID[parse(line).word]
+                needs_owner = TAKES_ID[parse(line).word]
             except BadCommand:
-                passes_on = False  # rejected below
-            if passes_on:
+                needs_owner = False  # rejected below
+            if needs_owner:
                 return self.relay(line)
         return answer(line, self)
 
--- a/rushhitch/succession/channel.py
+++ b/rushhitch/succession/channel.py
@@ -131,10 +131,10 @@
 
 class Relay:
     """Relays operators' commands to the other process over the channel, and runs those that the other relays
-    with `operate`."""
+    with `run_command`."""
 
-    def __init__(self, operate: Callable[[bytes], bytes]) -> None:
-        self.operate = operate
+    def __init__(self, run_command: Callable[[bytes], bytes]) -> None:
+        self.run_command = run_command
         self.channel: Channel | None = None
         self.pending: dict[int, asyncio.Future[bytes]] = {}
         self.last_id = 0
@@ -153,7 +153,7 @@
     def handle_frame(self, frame: dict[str, Any]) -> bool:
         """Handle a frame of the relay; False if it is some other frame."""
         if frame.get("t") == "ask" and self.channel is not None:
-            reply = self.operate(str(frame["line"]).encode())
+            reply = self.run_command(str(frame["line"]).encode())
             self.channel.send({"t": "said", "n": frame["n"], "text": reply.decode()})
         elif frame.get("t") == "said":
             future = self.pending.pop(frame["n"], None)
--- a/rushhitch/succession/handover.py
+++ b/rushhitch/succession/handover.py
@@ -26,7 +26,7 @@
 
 class Handover:
     """Listens in the state folder for one successor at a time. `version` returns that of the endpoint list;
-    `operate` runs an operators' command that the successor relays."""
+    `run_command` runs an operators' command that the successor relays."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         operators: OperatorCommands,
         clients: ConnectionManager,
         version: Callable[[], int],
-        operate: Callable[[bytes], bytes],
+        run_command: Callable[[bytes], bytes],
     ) -> None:
         self.folder, self.clients = folder, clients
         self.transfer, self.operators, self.node = transfer, operators, transfer.node
-        self.version, self.relay = version, Relay(operate)
+        self.version, self.relay = version, Relay(run_command)
         self.loop = asyncio.get_running_loop()
         self.incumbent = Incumbent()
         self.sock: socket.socket | None = None
--- a/rushhitch/succession/states.py
+++ b/rushhitch/succession/states.py
@@ -44,11 +44,11 @@
     END = auto()  # incumbent: exit, nothing is left to do
     PREPARE = auto()  # successor: with the state of the welcome
     ASK = auto()  # successor: ask for the promise to hand over
-    SAY_READY = auto()  # successor: tell operators
+    REPORT_READY = auto()  # successor: tell operators
     PROMISE = auto()  # incumbent: SIGTERM hands over from now on
     TAKE = auto()  # successor: take what was handed over
     TAKE_LOCK = auto()  # successor: the incumbent died without handing over; its folder is free
-    LOSE_CALLS = auto()  # successor: outcomes of calls outstanding at the incumbent are unknown
+    FAIL_CALLS = auto()  # successor: calls outstanding at the incumbent may have run, their outcome is lost
     WAIT = auto()  # successor: for the folder's lock, as nobody hands over
     GIVE_UP = auto()  # successor: exit without changing anything
 
@@ -145,7 +145,7 @@
         if self.state is not SuccessorState.ASKING:
             return None
         self.state = SuccessorState.READY
-        return Action.SAY_READY
+        return Action.REPORT_READY
 
     def yielded(self) -> Action | None:
         """The incumbent has handed over."""
@@ -164,7 +164,7 @@
             self.state = SuccessorState.TAKING
             return Action.TAKE_LOCK
         if self.state in (SuccessorState.TAKING, SuccessorState.SERVING):
-            return Action.LOSE_CALLS
+            return Action.FAIL_CALLS
         return None
 
     @property
--- a/rushhitch/succession/takeover.py
+++ b/rushhitch/succession/takeover.py
@@ -36,8 +36,8 @@
 
 class Takeover:
     """One upgrade, from the successor's side. After `inherit` the owner sets `adopt`, `abandon`,
-    `on_attempt_ended` and `on_predecessor_lost` and calls `go_on`, which first replays the frames received
-    meanwhile, in order."""
+    `on_attempt_ended` and `on_predecessor_lost` and calls `start_following`, which first replays the frames
+    received meanwhile, in order."""
 
     def __init__(self, configuration: Configuration, ready: Callable[[int, int], None]) -> None:
         self.configuration, self.on_ready = configuration, ready
@@ -125,7 +125,7 @@
         self.channel.send({"t": "ready"})
         while (received := await self.inbox.get()) is not None:
             frame, fds = received
-            if frame.get("t") == "promised" and self.successor.promised() is Action.SAY_READY:
+            if frame.get("t") == "promised" and self.successor.promised() is Action.REPORT_READY:
                 self.on_ready(int(self.welcome["listed"]), int(self.welcome["down"]))
                 log.info("ready to take over")
                 continue
@@ -178,7 +178,7 @@
         except Exception:
             log.exception("succession: handling a frame failed")
 
-    def go_on(self) -> None:
+    def start_following(self) -> None:
         """Pass all frames to the owner's callbacks from now on, starting with the queued ones."""
         self.successor.taken()
         self.following = True
@@ -199,7 +199,7 @@
         """The predecessor has ended: calls whose outcome it did not report may have run."""
         self.channel = None
         self.relay.channel_lost()
-        if self.successor.channel_lost() is Action.LOSE_CALLS:
+        if self.successor.channel_lost() is Action.FAIL_CALLS:
             self.on_predecessor_lost()
 
     def cancel_inherited(self, message: int, attempt: int) -> None:
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -58,7 +58,7 @@
         if word == "welcome":
             assert self.new.welcomed(VERSION) is Action.PREPARE
         elif word == "promised":
-            assert self.new.promised() is Action.SAY_READY
+            assert self.new.promised() is Action.REPORT_READY
             self.said_yes = True
         elif word == "yield":
             assert self.new.yielded() is Action.TAKE
--- a/tests/test_unheard_elsewhere.py
+++ b/tests/test_unheard_elsewhere.py
@@ -180,7 +180,7 @@
         frame = {"t": "client", "front": "resp2", "tail": "", "asked": True, "heard_at": 0.0}
         other.send(frame, [os.dup(client.fileno())])
         await until(lambda: takeover.inbox.qsize() == 2)
-        takeover.go_on()
+        takeover.start_following()
         assert len(adopted) == 1, "the client connection that followed was dropped"
 
     run(work())
@@ -196,8 +196,8 @@
             ControlHandler(),
         )
         clients = ConnectionManager(bench.node, 16)
-        operate = self.control_handler.become_owner(operators)
-        self.handover = Handover(folder, self.transfer, operators, clients, lambda: 41, operate)
+        run_command = self.control_handler.become_owner(operators)
+        self.handover = Handover(folder, self.transfer, operators, clients, lambda: 41, run_command)
         self.received = asyncio.Queue()
         left, self.new, _ = pair(
             lambda frame, fds: self.handover.handle_frame(left, frame, fds),
