--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -70,12 +70,12 @@
 RESERVED_DESCRIPTORS = 48
 CONTROL_DESCRIPTORS = MAX_CONNECTIONS + 4  # kept for operators and a successor, with a control address
 CLIENT_SHARE = 1 / 3  # of the descriptors, at most for clients' requests
-SPARE_CLIENTS = 24  # descriptors beyond `CLIENT_SHARE` for clients that are being rejected
 MIN_CONNECTIONS = 4  # for clients, and for endpoints, however few descriptors there are
 PARTIAL_REQUESTS_SHARE = 0.1  # of the memory, at most for partly received requests
 SETTINGS_FILE = "settings"  # with their history, in the state folder
 STATUS_INTERVAL_S = 2.0  # between status lines in the log
 FLEET_SIZE_INTERVAL_S = 0.5  # between updates of the number of active dispatchers, with membership
+SPARE_CLIENTS = 24  # descriptors beyond `CLIENT_SHARE` for clients that are being rejected
 
 
 async def serve(configuration: Configuration, forward: bool = False) -> None:
