--- a/crowpier/learned.py
+++ b/crowpier/learned.py
@@ -1,7 +1,7 @@
-"""What a dispatcher has learned, in plain values for the process that comes after it. No decisions, no I/O.
+"""Export and restore of what a dispatcher has learned, as plain values for its successor; no I/O.
 
-Times go as they stand on the dispatcher's clock, with its `now`; who takes them up says how far its own clock
-is ahead, so that the same values serve a successor on the same machine and one that starts later.
+Times are those of the exporting dispatcher's clock; the restoring side states how far its own clock is ahead.
+So the same values serve a successor on the same machine and one that starts later.
 """
 
 from __future__ import annotations
@@ -10,95 +10,110 @@
 
 from crowpier.interface import Settings
 
-FLOW = ("count", "at", "since")
-LANE = ("wait_until", "next_at", "cut_at", "pace", "known", "fulls", "told_rate")
-LANE += ("strikes", "answered_at", "served_at", "unheard_at")
-ENDPOINT = ("score", "scored_at", "strikes", "struck_at", "warm", "warm_at", "tripped", "opens_at")
-ENDPOINT += ("answered_at", "failed_at", "cold", "served_at", "blamed")
-TIMES = {"at", "since"}  # beside those that end in `_at` or `_until`
-
-
-class Knower(Protocol):
-    """What is read of the decisions, and set in them; lanes, flows and endpoints by the names above."""
+# Attributes are exported by position: another build reads them, so the order must stay and new ones go last.
+RATE_FIELDS = ("count", "at", "since")
+LANE_FIELDS = ("wait_until", "next_at", "cut_at", "pace", "known_rate", "refusals", "advertised_rate")
+LANE_FIELDS += ("strikes", "answered_at", "served_at", "connect_unanswered_at")
+ENDPOINT_FIELDS = (
+    "score",
+    "scored_at",
+    "strikes",
+    "last_strike_at",
+    "warm",
+    "warm_at",
+    "tripped",
+    "next_call_at",
+)
+ENDPOINT_FIELDS += ("answered_at", "failed_at", "cold", "served_at", "at_fault")
+TIMES = {"at", "since"}  # clock times, like all attributes that end in `_at` or `_until`
+
+
+class LearningDispatcher(Protocol):
+    """The state of a dispatcher that is read and set here."""
 
     settings: Settings
     now: float
     expected_ms: dict[str, Any]
-    keep: float
-    keep_at: float
+    idle_limit: float
+    idle_limit_at: float
     quotas: list[float]
     destinations: dict[int, Any]
-    returns: set[str]
-    turns: dict[int, Any]
+    reattached: set[str]
+    key_queues: dict[int, Any]
     lanes: dict[int | str, Any]
     endpoints: dict[str, Any]
 
-    def turn(self, key: int) -> Any:
-        """The turn of that key of order, made where there is none."""
+    def key_queue(self, key: int) -> Any:
+        """The queue of an ordering key, created where there is none."""
 
 
 def is_time(name: str) -> bool:
     return name in TIMES or name.endswith(("_at", "_until"))
 
 
-def values(thing: object, names: tuple[str, ...]) -> list[Any]:
-    return [getattr(thing, name) for name in names]
+def get_values(target: object, names: tuple[str, ...]) -> list[Any]:
+    return [getattr(target, name) for name in names]
 
 
-def put(thing: object, names: tuple[str, ...], told: list[Any], ahead: float) -> None:
-    """An earlier version knows fewer names, a later one more: new ones stand at the end."""
-    for name, value in zip(names, told, strict=False):
-        setattr(thing, name, value + ahead if is_time(name) else value)
+def set_values(target: object, names: tuple[str, ...], values: list[Any], ahead_ms: float) -> None:
+    """An older build exports fewer values and a newer one more, so the lengths may differ."""
+    for name, value in zip(names, values, strict=False):
+        setattr(target, name, value + ahead_ms if is_time(name) else value)
 
 
-def export(dispatcher: Knower) -> dict[str, Any]:
-    """All that is worth having: of lanes their limits and waits, of endpoints their health, of classes and
-    destinations their usual times, and until when keys of order rest."""
+def export(dispatcher: LearningDispatcher) -> dict[str, Any]:
+    """Limits and waits of lanes, health of endpoints, call times of classes and destinations, and until when
+    ordering keys are paused. Its keys are read by other builds and must stay."""
     settle = dispatcher.settings.order_settle_ms
-    rests = []
-    for key, turn in dispatcher.turns.items():
-        out = [m for m in turn.line if m.over and m.out]  # nobody waits for these, but for their effect
-        until = max([turn.rests_until, *(dispatcher.now + settle for _ in out)])
+    pauses = []
+    for key, queue in dispatcher.key_queues.items():
+        awaited = [m for m in queue.messages if m.closed and m.in_flight]  # answered, effect awaited
+        until = max([queue.paused_until, *(dispatcher.now + settle for _ in awaited)])
         if until > dispatcher.now:
-            rests.append((key, until))
+            pauses.append((key, until))
     return {
         "now": dispatcher.now,
         "usual": dispatcher.expected_ms,
-        "keep": (dispatcher.keep, dispatcher.keep_at),
+        "keep": (dispatcher.idle_limit, dispatcher.idle_limit_at),
         "quotas": dispatcher.quotas,
-        "stretch": [(number, d.stretch) for number, d in dispatcher.destinations.items()],
-        "rests": rests,
-        "returns": sorted(dispatcher.returns),
+        "stretch": [(number, d.latency_factor) for number, d in dispatcher.destinations.items()],
+        "rests": pauses,
+        "returns": sorted(dispatcher.reattached),
         "lanes": [
-            (key, values(lane, LANE), values(lane.sent, FLOW), values(lane.taken, FLOW))
+            (
+                key,
+                get_values(lane, LANE_FIELDS),
+                get_values(lane.sent_rate, RATE_FIELDS),
+                get_values(lane.served_rate, RATE_FIELDS),
+            )
             for key, lane in dispatcher.lanes.items()
         ],
-        "endpoints": [(name, values(e, ENDPOINT)) for name, e in dispatcher.endpoints.items()],
+        "endpoints": [(name, get_values(e, ENDPOINT_FIELDS)) for name, e in dispatcher.endpoints.items()],
     }
 
 
-def restore(dispatcher: Knower, told: dict[str, Any], ahead_ms: float) -> None:
-    """Take it up; what is not listed here any more is left out. A `ValueError` where it makes no sense."""
+def restore(dispatcher: LearningDispatcher, state: dict[str, Any], ahead_ms: float) -> None:
+    """Restores exported state; unknown lanes and endpoints are skipped. `ValueError` if malformed."""
     try:
-        for name, expected_ms in told["usual"].items():
+        for name, expected_ms in state["usual"].items():
             if name in dispatcher.expected_ms:
                 dispatcher.expected_ms[name] = expected_ms
-        dispatcher.keep, dispatcher.keep_at = told["keep"][0], told["keep"][1] + ahead_ms
-        if len(told["quotas"]) == len(dispatcher.quotas):
-            dispatcher.quotas = [until + ahead_ms for until in told["quotas"]]
-        for number, stretch in told["stretch"]:
+        dispatcher.idle_limit, dispatcher.idle_limit_at = state["keep"][0], state["keep"][1] + ahead_ms
+        if len(state["quotas"]) == len(dispatcher.quotas):
+            dispatcher.quotas = [until + ahead_ms for until in state["quotas"]]
+        for number, factor in state["stretch"]:
             if number in dispatcher.destinations:
-                dispatcher.destinations[number].stretch = stretch
-        for key, until in told["rests"]:
-            dispatcher.turn(key).rests_until = until + ahead_ms
-        dispatcher.returns.update(told["returns"])
-        for key, lane_told, sent, taken in told["lanes"]:
+                dispatcher.destinations[number].latency_factor = factor
+        for key, until in state["rests"]:
+            dispatcher.key_queue(key).paused_until = until + ahead_ms
+        dispatcher.reattached.update(state["returns"])
+        for key, lane_values, sent_values, served_values in state["lanes"]:
             if (lane := dispatcher.lanes.get(key)) is not None:
-                put(lane, LANE, lane_told, ahead_ms)
-                put(lane.sent, FLOW, sent, ahead_ms)
-                put(lane.taken, FLOW, taken, ahead_ms)
-        for name, endpoint_told in told["endpoints"]:
+                set_values(lane, LANE_FIELDS, lane_values, ahead_ms)
+                set_values(lane.sent_rate, RATE_FIELDS, sent_values, ahead_ms)
+                set_values(lane.served_rate, RATE_FIELDS, served_values, ahead_ms)
+        for name, endpoint_values in state["endpoints"]:
             if (endpoint := dispatcher.endpoints.get(name)) is not None:
-                put(endpoint, ENDPOINT, endpoint_told, ahead_ms)
+                set_values(endpoint, ENDPOINT_FIELDS, endpoint_values, ahead_ms)
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"what was learned before makes no sense: {error!r}") from None
+        raise ValueError(f"malformed learned state: {error!r}") from None
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -1,9 +1,9 @@
 """Every decision of the delivery service; the types it takes and gives are in `interface.py`.
 
-A message goes to its destination's best-measured endpoint, is retried there, then falls over to greedy plans
-of the remaining endpoints (Algorithm 1 of the rAFCL paper). What cannot go yet is held. The guards that the
-six rules need stand around that path: an `Endpoint` has a score and a breaker, a `Lane` (a destination, or a
-route where routes are apart) has the waits and the pace of a limit.
+A message goes to its destination's best-scored endpoint and is retried there, then falls over to greedily
+built plans of the remaining endpoints (Algorithm 1 of the rAFCL paper). Messages that cannot be sent yet are
+held. An `Endpoint` has a score and a circuit breaker; a `Lane` (a destination, or a single route where routes
+are separate) has the waits and the learned rate limit (its pace).
 """
 
 from __future__ import annotations
@@ -19,143 +19,154 @@
 from crowpier import learned
 from crowpier.interface import AttemptEnded, Effect, Outcome, Settings, State
 
-# The mechanism
-PRIOR = 0.5  # score of an endpoint nothing is known of: it may as well work as not
+# Endpoint selection
+PRIOR_SCORE = 0.5  # score of an endpoint without history: success and failure are equally likely
 SCORE_GAIN = 0.2  # weight of the newest outcome: about the last five calls count
-SCORE_AGE_MS = 30_000.0  # an unused score drifts to the prior within about this time
-FIRST_RETRIES = 2  # further tries at the first endpoint, as in the paper's cloud default
-TARGET = 0.9  # joint availability of a plan: one healthy endpoint meets it alone
-LOAD_DISCOUNT = 0.1  # score given up for each call already out: ten calls weigh as much as certain failure
-FEE_DISCOUNT = 2.0  # score given up for each point of fee: decides between near equals only
-COLD_CONN_DISCOUNT = 0.05  # score given up where a connection must be opened: decides between equals only
-# Connections
-KEEP_CUT = 0.5  # of the idle time after which one failed: from then on idle ones are closed before
-KEEP_FULL = 0.4  # of the told idle time: tables that are full of idle ones are no reason to go under its half
-KEEP_LEAST = 0.01  # of the told idle time: never closed sooner
-KEEP_DOUBLES_MS = 15_000.0  # the time for which idle ones are kept doubles in this, up to the told one
+SCORE_DECAY_MS = 30_000.0  # time constant with which an unused score returns to the prior
+RETRIES_AT_FIRST_ENDPOINT = 2  # the paper's cloud default
+TARGET_AVAILABILITY = 0.9  # joint availability of a plan: one healthy endpoint meets it alone
+LOAD_PENALTY = 0.1  # of score, for each call in flight: ten calls weigh as much as certain failure
+FEE_PENALTY = 2.0  # of score, for each point of fee: decides only between near equals
+NEW_CONNECTION_PENALTY = 0.05  # of score, where a connection must be opened: decides only between equals
+# Idle connections
+KEEP_ALIVE_CUT = 0.5  # of the idle time after which a connection failed: the new limit on idle time
+KEEP_ALIVE_CONNECT_FAILED = 0.4  # of the configured idle time: failed connects never cut below half of this
+KEEP_ALIVE_MIN = 0.01  # of the configured idle time: never closed sooner
+KEEP_ALIVE_DOUBLING_MS = 15_000.0  # a cut idle time doubles in this, up to the configured one
 # Slots
-DEST_SHARE = 0.75  # of the slots for one destination, from the design
-SICK_SHARE = 0.5  # of the slots while it fails or is slow, from the design; and for all slow endpoints
-SLOW_CALL = 2.0  # a call out for more than this times its usual time is slow, from the design
-SILENT_CALL = 3.0  # with nothing answered for so many usual times, nothing more is sent
-# Times
-FIRST_USUAL = 0.15  # of the class's aim: a call's usual time before one is measured
-USUAL_GAIN = 0.02  # weight of the newest call in its class's usual time
-STRETCH_GAIN = 0.2  # weight of the newest call in a destination's pace, which differs more and changes faster
-LEAST_STRETCH = 0.1  # of a destination's pace: nothing is divided by next to nothing
-TIMEOUT_CALLS = 4.0  # a call is given up after this times its usual time, but not before the class's aim
-TIMEOUT_AIMS = {Effect.SAFE: 2.0, Effect.KEYED: 1.0, Effect.UNSAFE: 8.0}  # unsafe: giving up loses it
-DOUBTED_SHARE = 0.25  # of that while idle connections are known to fail and this call went on one
-LOST_CALLS = (
-    6.0  # usual calls: one that is out for longer, and was overtaken, is called off where others wait
+DESTINATION_SLOT_SHARE = 0.75  # of all slots: what one destination may hold
+UNHEALTHY_SLOT_SHARE = 0.5  # the same while it fails or is slow; also for all slow endpoints together
+SLOW_FACTOR = 2.0  # a call is slow after this times its expected time
+UNRESPONSIVE_FACTOR = 3.0  # after so many expected times without any answer nothing more is sent
+# Call times
+INITIAL_CALL_AIMS = 0.15  # of the class's aim: expected call time before one is measured
+EXPECTED_GAIN = 0.02  # weight of the newest call in its class's expected time
+LATENCY_GAIN = 0.2  # weight of the newest call in a destination's latency: it changes faster
+MIN_LATENCY_FACTOR = 0.1  # lower bound where the factor is a divisor
+TIMEOUT_EXPECTED_CALLS = 4.0  # time-out in expected call times, but at least the aims below
+MIN_TIMEOUT_AIMS = {Effect.SAFE: 2.0, Effect.KEYED: 1.0, Effect.UNSAFE: 8.0}  # a time-out loses an unsafe one
+STALE_CONNECTION_TIMEOUT_SHARE = 0.25  # of these aims, on an idle connection while such are known to fail
+LOST_EXPECTED_CALLS = 6.0  # after so many expected call times an overtaken call may be cancelled for others
+MIN_LOST_AIMS = {Effect.SAFE: 0.5, Effect.KEYED: 0.5, Effect.UNSAFE: 1.0}  # cancelling loses an unsafe one
+OVERTAKEN_CALLS = 2  # later calls delivered: the endpoint is not slow, this call's connection is dead
+SHUTDOWN_MARGIN_CALLS = 4.0  # expected call times before the process ends: no unsafe message is sent then
+RETRY_BACKOFF_CALLS = 0.25  # of an expected call time, before the first retry; doubled with each
+MAX_BACKOFF_MS = 2_000.0  # waits that endpoints ask for are of that order
+# Rate limits; growth and cuts are exponents of e
+RATE_CUT_PER_S = 0.8  # refusals above a limit cut the rate by this each second, however few calls reveal it
+RATE_AFTER_CUT_MAX, RATE_AFTER_CUT_MIN = 0.85, 0.2  # of the sent rate: what one refusal leaves
+RATE_GROWTH_PER_S = 0.5  # for each second without a refusal
+RATE_GROWTH_PER_CALL = 0.7  # upper bound, for each call that would show the rate to be too high
+KNOWN_RATE_SHARE = 0.9  # of the rate that was served lately: up to this it grows back fast
+MAX_RATE_GROWTH = 20.0  # keeps the exponential within floating-point range
+MIN_RATE_PER_S = 1.5  # of all dispatchers together: a lower rate would be useless
+BATCHING_AIM_SHARE = 0.25  # of the shortest aim: the call interval below which batching calls gain nothing
+BURST_MS = 400.0  # worth of rate that may be sent at once
+RATE_WINDOW_MS = 2_000.0  # time constant of the sent rate
+DEFAULT_RATE_PER_S = 10.0  # of all dispatchers together: assumed for a lane without history
+DEFAULT_RATE_WEIGHT_MS = 2_000.0  # the default counts as so long an observation, less as more is observed
+MIN_SERVED_SPAN = 0.1  # of the window: the served rate is not measured over less
+SERVED_RATE_WINDOW_MS = 30_000.0  # time constant of the rate that a lane served us, our share of its capacity
+INITIAL_PAUSE_MS = 500.0  # after a refusal without a wait, doubled with each in a row
+JITTER = (0.75, 1.25)  # factors on our own waits, so that dispatchers do not act in step
+WAIT_MARGIN_MS = 1.0  # added to a requested wait, since clocks round
+# Circuit breaker
+STRIKES_TO_TRIP = 4  # a failure is two strikes unless listed below
+UNANSWERED_CONNECT_MS = (
+    500.0  # a connect that fails later was not refused: nobody answered, it counts in full
 )
-LOST_AIMS = {Effect.SAFE: 0.5, Effect.KEYED: 0.5, Effect.UNSAFE: 1.0}  # but not before; unsafe: that loses it
-OVERTAKEN = (
-    2  # later calls to the endpoint that were delivered: it is not slow, this one's connection is dead
-)
-LEAVE_CALLS = 4.0  # usual calls: so long before the process ends, no unsafe message is sent any more
-RETRY_CALLS = 0.25  # of a usual call: rest before the first further try, doubled with each
-REST_TOP_MS = 2_000.0  # no rest of our own is longer, a wanted time is of that order
-# Limits
-CUT_PER_S = 0.8  # e-folds: refusals above a limit cut the pace by so many a second, however few calls tell
-CUT_LEAST, CUT_MOST = 0.85, 0.2  # of what was sent: what one refusal leaves of the pace
-GROW_PER_S = 0.5  # e-folds: the pace grows by so many each second without a refusal
-GROW_PER_CALL = 0.7  # e-folds: but by no more for each call that would show it to be too high
-KNOWN_SHARE = 0.9  # of the pace that was taken of late: the pace grows back to it fast
-GROW_TOP = 20.0  # e-folds: it grows no further, against numbers out of range
-PACE_FLOOR_PER_S = 1.5  # of all dispatchers: the pace never falls under our part, less would be of no use
-GATHER = 0.25  # of the shortest aim: where calls take several messages, none is needed sooner once refused
-BURST_MS = 400.0  # worth of pace that may go at once
-FLOW_MS = 2_000.0  # memory of the pace that was sent
-GUESS_PER_S = 10.0  # of all dispatchers: the pace of a lane before any is seen
-GUESS_MS = 2_000.0  # the guess weighs as much as so long a time that was seen, and less as more is
-PART_LEAST = 0.1  # of the memory of a part: over a shorter time nothing is called one
-PART_MS = 30_000.0  # memory of the mean pace that a lane took from us, our part of what it can do
-PAUSE_MS = 500.0  # first pause after a refusal that tells no wait, doubled with each in a row
-JITTER = (0.75, 1.25)  # rests of our own are stretched by chance, so that dispatchers do not act in step
-WAIT_MARGIN_MS = 1.0  # added to a told wait, against rounding of the clock
-# Outages
-STRIKES = 4  # breaker: opens at so many; a failure is two, less where it may be the limit's or the network's
-SILENCE_MS = 500.0  # a connect that fails so late was not refused: nobody is there, a failure as others
-LOOKS_MS = 100.0  # before a send's `start_by_ms`: what comes up within it may be given back unused as well
-STRIKE = {Outcome.FULL: 1.0, Outcome.CONNECT_FAILED: 1.0, Outcome.RESET: 0.5}
-BLINK_MS = 1_000.0  # outages last for seconds: what served so shortly before was not in one
-BLINK_TRIAL_MS = 250.0  # after a trip of what was warm the first trial comes so soon: it may be chance
-RETURN_SHARE = 0.9  # of `fall_multiple` times the known pace: what a cold lane gets at most from us
-UNSEEN_MS = 8_000.0  # outages end in mid-span between a failure and a success, where that is no longer
-TRIAL_SHARE = 0.75  # of that: those who find out that it returned send more within the same time
-RETURN_GROW_PER_S = 0.2  # e-folds: that share grows by so many each second in which nothing fails
-TRIAL_GAP_MS = 500.0  # times the dispatchers: the longest wait between calls to a cold endpoint
+START_CHECK_MS = 100.0  # a connection that comes up so shortly before `start_by_ms` may be left unused too
+# Less for failures that a limit or the network may have caused:
+STRIKE_WEIGHTS = {Outcome.FULL: 1.0, Outcome.CONNECT_FAILED: 1.0, Outcome.RESET: 0.5}
+BRIEF_OUTAGE_MS = 1_000.0  # outages last for seconds: what served so recently was not in one
+EARLY_TRIAL_MS = 250.0  # first trial after a warm endpoint trips: the failures may have been chance
+COLD_RATE_SHARE = 0.9  # of `fall_multiple` times the known rate: upper bound of what we send a cold lane
+MAX_UNOBSERVED_MS = 8_000.0  # an outage is taken to end midway between failure and success, up to this apart
+TRIAL_RATE_SHARE = 0.75  # of the cold rate: dispatchers that see the recovery send more in the same period
+COLD_RATE_GROWTH_PER_S = 0.2  # exponent of e, for each second in which nothing fails
+MAX_TRIAL_GAP_MS = 500.0  # times the dispatchers: longest interval between calls to a cold endpoint
 # Held messages
-PATIENCE = 0.5  # of the aim: a message's urgency grows e-fold as its slack shrinks by so much
-CROWD_PATIENCE = 8.0  # of the time that what is held takes past the aim, where a pace is allowed from outside
-QUOTA_MS = 3_000.0  # a tenant may be ahead of its allowance by so long
-FULL_HOUSE = 0.9  # of the messages that may be held: beyond this the least worth is shed
-RESUBSCRIBE_MS = 1_000.0  # first wait before asking a failed directory again, doubled to the top
-RESUBSCRIBE_TOP_MS = 8_000.0
-
-
-class Flow:
-    """A decaying count of things per second."""
-
-    def __init__(self, memory_ms: float, least: float = 0.0) -> None:
-        self.memory, self.least, self.count, self.at, self.since = memory_ms, least, 0.0, 0.0, math.inf
+URGENCY_SCALE_AIMS = 0.5  # of the aim: urgency grows e-fold as the slack shrinks by so much
+OVERLOAD_URGENCY_SCALE = 8.0  # of the time that the backlog takes past the aim, under an outside allowance
+ALLOWANCE_LEAD_MS = 3_000.0  # how far a tenant may be ahead of its allowance
+SHED_THRESHOLD = 0.9  # of `max_held`: beyond this the message of least worth is shed
+RESUBSCRIBE_BACKOFF_MS = 1_000.0  # before a failed directory is asked again, doubled up to the maximum
+MAX_RESUBSCRIBE_BACKOFF_MS = 8_000.0
+
+
+class DecayingRate:
+    """An exponentially decaying rate of events per second."""
+
+    def __init__(self, window_ms: float, min_span: float = 0.0) -> None:
+        self.window_ms, self.min_span, self.count, self.at, self.since = (
+            window_ms,
+            min_span,
+            0.0,
+            0.0,
+            math.inf,
+        )
 
-    def rate(self, now: float, guess: float = 0.0) -> float:
-        """Over the time since the first of them, as long as that is shorter than the memory. A guess guards
-        against a rate that is made of one or two things."""
-        unseen = math.exp(-max((now - self.since) / self.memory, self.least))
-        weight = GUESS_MS * unseen if guess else 0.0
-        count = self.count * math.exp((self.at - now) / self.memory) + weight * guess / 1000.0
-        return count * 1000.0 / (self.memory * (1.0 - unseen) + weight)
+    def per_s(self, now: float, default_per_s: float = 0.0) -> float:
+        """Measured since the first event while that is shorter than the window. `default_per_s` is
+        blended in, since otherwise one or two events would make up the whole rate."""
+        unobserved = math.exp(-max((now - self.since) / self.window_ms, self.min_span))
+        weight = DEFAULT_RATE_WEIGHT_MS * unobserved if default_per_s else 0.0
+        count = self.count * math.exp((self.at - now) / self.window_ms) + weight * default_per_s / 1000.0
+        return count * 1000.0 / (self.window_ms * (1.0 - unobserved) + weight)
 
     def add(self, now: float) -> None:
         self.since = min(self.since, now)
-        self.count = self.count * math.exp((self.at - now) / self.memory) + 1.0
+        self.count = self.count * math.exp((self.at - now) / self.window_ms) + 1.0
         self.at = now
 
 
 class Lane:
-    """What shares one limit: a destination, or one route where routes are apart."""
+    """The unit that shares one rate limit: a destination, or a single route where routes are separate."""
 
     def __init__(self) -> None:
-        self.told_rate = 0.0
+        self.advertised_rate = 0.0
         self.endpoints: list[Endpoint] = []
-        self.strikes = 0.0  # of its endpoints that are not tripped, since one of them served
+        self.strikes = 0.0  # of its untripped endpoints, since one of them served
         self.answered_at = self.served_at = -math.inf
-        self.unheard_at = -math.inf  # the newest connect that was given up, not refused
+        self.connect_unanswered_at = -math.inf  # latest connect that timed out rather than being refused
         self.wait_until = self.next_at = -math.inf
         self.cut_at = 0.0
         self.pace = math.inf
-        self.known = 0.0  # the pace up to which it grows fast again
-        self.enough = math.inf  # once refused, no higher pace is of use
-        self.fulls = 0
-        self.sent, self.taken = Flow(FLOW_MS), Flow(PART_MS, PART_LEAST)
-        self.allowed_gap = self.allowed_slack = 0.0  # guidance from outside: time between calls, and saved up
+        self.known_rate = 0.0  # up to this the limit grows back fast
+        self.useful_rate = math.inf  # after a refusal, a higher rate would bring nothing
+        self.refusals = 0
+        self.sent_rate, self.served_rate = (
+            DecayingRate(RATE_WINDOW_MS),
+            DecayingRate(SERVED_RATE_WINDOW_MS, MIN_SERVED_SPAN),
+        )
+        self.allowed_gap = self.allowed_slack = 0.0  # outside allowance: call interval and saved-up time
         self.allowed_until = self.allowed_next = self.slots_until = -math.inf
-        self.slots: deque[tuple[int, float]] = deque()  # moments from outside: number, when
+        self.slots: deque[tuple[int, float]] = deque()  # assigned by a planner: number, time
         self.slot_used = 0
         self.score_penalty = 0.0
 
     def pace_at(self, now: float) -> float:
-        """Calls a second that may be sent: cut by refusals, growing by compound with time since. It guards
-        against a pace that was cut while a slow or full destination took little and binds long after. Near a
-        limit it is much like growth by a line; it hurts where a limit stays low: refusals come sooner."""
+        """Calls per second that may be sent: cut by refusals, then growing exponentially, since otherwise a
+        cut made while the destination took little would bind long after. Near a limit this is close to linear
+        growth. Drawback: where a limit stays low, refusals come sooner."""
         if self.pace == math.inf:
             return self.pace
-        known = max(self.known, self.pace)
-        left = (now - self.cut_at) / 1000.0 - math.log(known / self.pace) / GROW_PER_S
-        growth = min(GROW_PER_S, GROW_PER_CALL * known) if left > 0.0 else GROW_PER_S
-        return min(known * math.exp(min(growth * left, GROW_TOP)), self.enough)
+        known = max(self.known_rate, self.pace)
+        past_known_s = (now - self.cut_at) / 1000.0 - math.log(known / self.pace) / RATE_GROWTH_PER_S
+        growth = (
+            min(RATE_GROWTH_PER_S, RATE_GROWTH_PER_CALL * known) if past_known_s > 0.0 else RATE_GROWTH_PER_S
+        )
+        return min(known * math.exp(min(growth * past_known_s, MAX_RATE_GROWTH)), self.useful_rate)
 
-    def open_at(self, now: float) -> float:
-        """When the next call may go, as far as waits and the pace have it."""
+    def available_at(self, now: float) -> float:
+        """When waits and rate limits permit the next call."""
         allowance = max(BURST_MS - 1000.0 / self.pace_at(now), 0.0)
         at = max(self.wait_until, self.next_at - allowance)
         if now < self.slots_until:
             while self.slots and (
-                self.slots[0][1] < self.wait_until  # a moment within a wait is gone, or all would go after it
-                or (len(self.slots) > 1 and self.slots[1][1] <= now)  # of others that were missed one is kept
+                # Slots within a wait are dropped, since all would be used right after it; of other missed
+                # slots only the last is kept.
+                self.slots[0][1] < self.wait_until or (len(self.slots) > 1 and self.slots[1][1] <= now)
             ):
                 self.slots.popleft()
             at = max(at, self.slots[0][1] if self.slots else self.slots_until)
@@ -163,195 +174,203 @@
             at = max(at, min(self.allowed_next - self.allowed_slack, self.allowed_until))
         return at
 
-    def allow(self, now: float, told: api.SendAllowance) -> None:
-        """Guidance from those who see all dispatchers: it guards against each learning a limit alone by being
-        refused, all overshooting together. It hurts where they are wrong; it runs out by itself."""
-        self.heed(now, told.wait_ms)
-        self.allowed_gap = 1000.0 / told.per_s if told.per_s > 0 else math.inf
-        self.allowed_slack = (told.burst - 1.0) * self.allowed_gap if told.per_s > 0 else 0.0
-        self.allowed_next = min(self.allowed_next, now + told.burst * self.allowed_gap)
-        if not told.per_s:
+    def apply_allowance(self, now: float, allowance: api.SendAllowance) -> None:
+        """Planners see all dispatchers, which would otherwise each learn a limit by refusals and overshoot it
+        together. Drawback: a wrong allowance binds until it expires."""
+        self.respect_wait(now, allowance.wait_ms)
+        self.allowed_gap = 1000.0 / allowance.per_s if allowance.per_s > 0 else math.inf
+        self.allowed_slack = (allowance.burst - 1.0) * self.allowed_gap if allowance.per_s > 0 else 0.0
+        self.allowed_next = min(self.allowed_next, now + allowance.burst * self.allowed_gap)
+        if not allowance.per_s:
             self.allowed_next = math.inf
-        self.allowed_until, self.score_penalty = now + told.for_ms, told.score_penalty
-        self.slots_until = now + told.slots_ms
-        missed = [slot for slot in self.slots if slot[0] < told.slot and slot[1] <= now]
-        coming = [(told.slot + n, now + at) for n, at in enumerate(told.slots)]
+        self.allowed_until, self.score_penalty = now + allowance.for_ms, allowance.score_penalty
+        self.slots_until = now + allowance.slots_ms
+        missed = [slot for slot in self.slots if slot[0] < allowance.slot and slot[1] <= now]
+        coming = [(allowance.slot + n, now + at) for n, at in enumerate(allowance.slots)]
         self.slots = deque(missed[-1:] + [slot for slot in coming if slot[0] > self.slot_used])
 
     def note_sent(self, now: float, jitter: float = 1.0) -> None:
-        self.sent.add(now)
+        self.sent_rate.add(now)
         if now < self.slots_until and self.slots:
             self.slot_used = self.slots.popleft()[0]
         if now < self.allowed_until:
             self.allowed_next = max(now, self.allowed_next) + self.allowed_gap * jitter
         self.next_at = max(now, self.next_at) + 1000.0 / self.pace_at(now)
 
-    def note_taken(self, now: float, cold: bool) -> None:
-        self.fulls = 0
-        if not cold:  # what we send a cold endpoint is not what it can do, and must not chill the next return
-            self.taken.add(now)
+    def note_served(self, now: float, cold: bool) -> None:
+        self.refusals = 0
+        if not cold:  # what a cold endpoint gets is not its capacity, and must not slow its next recovery
+            self.served_rate.add(now)
 
-    def part(self) -> float:
-        """The pace that the lane took from us, as of the last call taken: an outage does not wear it down."""
-        return self.taken.rate(self.taken.at)
+    def served_per_s(self) -> float:
+        """The rate served to us as of the last call served: it must not decay during an outage."""
+        return self.served_rate.per_s(self.served_rate.at)
 
-    def heed(self, now: float, told_wait: float) -> None:
-        if told_wait > 0:
-            self.wait_until = max(self.wait_until, now + told_wait + WAIT_MARGIN_MS)
+    def respect_wait(self, now: float, wait_ms: float) -> None:
+        if wait_ms > 0:
+            self.wait_until = max(self.wait_until, now + wait_ms + WAIT_MARGIN_MS)
 
-    def note_full(
-        self, now: float, sent_at: float, told_wait: float, chance: random.Random, dispatchers: int
+    def note_refusal(
+        self, now: float, sent_at: float, wait_ms: float, rng: random.Random, dispatchers: int
     ) -> None:
-        """Slow down once for all calls that were out together."""
+        """Cuts the rate limit, once for all calls that were in flight together."""
         if sent_at < self.cut_at:
             return
-        floor = PACE_FLOOR_PER_S / dispatchers
-        rate = max(min(self.sent.rate(now, GUESS_PER_S / dispatchers), self.pace_at(now)), floor)
-        cut = min(max(math.exp(-CUT_PER_S / rate), CUT_MOST), CUT_LEAST)
-        self.known = KNOWN_SHARE * self.part()
+        floor = MIN_RATE_PER_S / dispatchers
+        rate = max(min(self.sent_rate.per_s(now, DEFAULT_RATE_PER_S / dispatchers), self.pace_at(now)), floor)
+        cut = min(max(math.exp(-RATE_CUT_PER_S / rate), RATE_AFTER_CUT_MIN), RATE_AFTER_CUT_MAX)
+        self.known_rate = KNOWN_RATE_SHARE * self.served_per_s()
         self.pace = max(cut * rate, floor)
         self.cut_at = now
-        self.fulls += 1
-        if told_wait <= 0:
-            pause = min(PAUSE_MS * 2.0 ** (self.fulls - 1), REST_TOP_MS) * chance.uniform(*JITTER)
+        self.refusals += 1
+        if wait_ms <= 0:
+            pause = min(INITIAL_PAUSE_MS * 2.0 ** (self.refusals - 1), MAX_BACKOFF_MS) * rng.uniform(*JITTER)
             self.wait_until = max(self.wait_until, now + pause)
-        # All who are told a wait hear the same end of it: each begins at a moment of its own.
-        spread = 1000.0 * min(1.0 / self.pace, dispatchers / GUESS_PER_S)
-        self.next_at = max(self.next_at, self.wait_until + chance.random() * spread)
+        # All dispatchers are told the same end of a wait, so each resumes at a random time after it.
+        spread = 1000.0 * min(1.0 / self.pace, dispatchers / DEFAULT_RATE_PER_S)
+        self.next_at = max(self.next_at, self.wait_until + rng.random() * spread)
 
 
 class Endpoint:
-    """One address of a destination: its score, the calls out, and its circuit breaker."""
+    """One address of a destination: its score, its calls in flight and its circuit breaker."""
 
     def __init__(self, entry: api.Entry, lane: Lane, destination: Destination) -> None:
         self.name, self.kind, self.zone = entry.endpoint, entry.kind, entry.zone
         self.state, self.lane, self.destination = State.READY, lane, destination
-        self.score, self.scored_at = PRIOR, 0.0
+        self.score, self.scored_at = PRIOR_SCORE, 0.0
         self.calls: dict[int, Call] = {}
         self.idle: list[float] = []
-        self.strikes, self.struck_at = 0, -math.inf
+        self.strikes, self.last_strike_at = 0, -math.inf
         self.warm, self.warm_at = 1.0, 0.0
-        self.tripped, self.opens_at, self.answered_at = False, -math.inf, -math.inf
-        self.failed_at = -math.inf  # the newest failure of any kind
-        self.cold = False  # from its trip until it is warm again
-        self.served_at, self.blamed = -math.inf, False  # blamed: it failed since by its own doing
+        self.tripped, self.next_call_at, self.answered_at = False, -math.inf, -math.inf
+        self.failed_at = -math.inf  # latest failure of any kind
+        self.cold = False  # from tripping until warm again
+        self.served_at, self.at_fault = -math.inf, False  # at_fault: it failed since, by its own doing
         self.detached = False  # by operators
-        self.came_up = False  # a connection, too late to be used: the next one is, however long it takes
+        self.connected_late = False  # too late to be used: the next trial has no start limit
 
     @property
     def ready(self) -> bool:
         return self.state is State.READY and not self.detached
 
     def score_at(self, now: float) -> float:
-        return PRIOR + (self.score - PRIOR) * math.exp((self.scored_at - now) / SCORE_AGE_MS)
+        return PRIOR_SCORE + (self.score - PRIOR_SCORE) * math.exp((self.scored_at - now) / SCORE_DECAY_MS)
 
-    def rate(self, now: float, success: bool) -> None:
-        """The aged success share of the mechanism."""
+    def update_score(self, now: float, success: bool) -> None:
+        """Adds an outcome to the decayed success share."""
         old = self.score_at(now)
         self.score, self.scored_at = old + SCORE_GAIN * (success - old), now
 
 
 class Call:
-    """One call out: a message, or several of one round where the kind takes them together."""
+    """One call in flight: a message, or several together where the destination kind takes batches."""
 
     def __init__(
         self, number: int, endpoint: Endpoint, message: Message, now: float, expected_ms: float
     ) -> None:
         self.number, self.endpoint, self.sent_at = number, endpoint, now
         self.destination = message.destination
-        self.expected_ms, self.cls, self.left, self.judged = expected_ms, message.cls.name, 0, False
-        self.riders: list[tuple[Message, int]] = []  # and which of their attempts it is
-        self.start_by = math.inf  # else it is not sent: its connection came up too late
+        self.expected_ms, self.cls, self.pending, self.recorded = expected_ms, message.cls.name, 0, False
+        self.attempts: list[tuple[Message, int]] = []  # each message with its attempt number
+        self.start_by = math.inf  # latest use of its connection
         self.lost_at, self.abandoned, self.overtaken = -math.inf, False, 0  # by later calls
-        self.idle_ms = now - endpoint.idle.pop() if endpoint.idle else 0.0  # of its connection, before it
-
-    def carry(self, message: Message, number: int) -> None:
-        """The message's attempt of that number goes with it."""
-        message.out += 1
-        self.left += 1
-        self.riders.append((message, number))
-        lost = max(LOST_CALLS * self.expected_ms, LOST_AIMS[message.cls.effect] * message.cls.aim_ms)
+        # How long its connection had been idle before the call.
+        self.idle_ms = now - endpoint.idle.pop() if endpoint.idle else 0.0
+
+    def add(self, message: Message, number: int) -> None:
+        """Adds the message's attempt `number` to this call."""
+        message.in_flight += 1
+        self.pending += 1
+        self.attempts.append((message, number))
+        lost = max(
+            LOST_EXPECTED_CALLS * self.expected_ms, MIN_LOST_AIMS[message.cls.effect] * message.cls.aim_ms
+        )
         self.lost_at = max(self.lost_at, self.sent_at + lost)
 
 
 class Message:
-    """A message that was taken and is not over, or still has attempts out."""
+    """An accepted message that has no final answer yet, or still has attempts in flight."""
 
     def __init__(
         self, event: api.MessageAccepted, terms: api.Terms, destination: Destination, now: float
     ) -> None:
         cls = terms.cls
-        self.id, self.cls, self.destination, self.most = event.message, cls, destination, terms.max_attempts
+        self.id, self.cls, self.destination, self.max_attempts = (
+            event.message,
+            cls,
+            destination,
+            terms.max_attempts,
+        )
         self.key = event.key if cls.in_order else 0
         self.worth, self.untried = cls.worth, event.untried
         self.deadline = now + event.left_ms
-        self.born = self.deadline - cls.deadline_ms
+        self.accepted_at = self.deadline - cls.deadline_ms
         self.attempts: list[Call | None] = []
-        self.out = self.tries = 0
-        self.ran_at, self.ran_zone = math.inf, -1  # of the first attempt that may have run
-        self.first: Endpoint | None = None
-        self.retries = FIRST_RETRIES
+        self.in_flight = self.retry_count = 0
+        self.ran_at, self.ran_zone = math.inf, -1  # of the first attempt that may have been executed
+        self.first_endpoint: Endpoint | None = None
+        self.retries_left = RETRIES_AT_FIRST_ENDPOINT
         self.plans: list[list[Endpoint]] | None = None
         self.not_before = -math.inf
-        self.over = False
+        self.closed = False
 
     @property
-    def owed(self) -> bool:
-        """An earlier process took it on, and nobody has tried it."""
+    def inherited_untried(self) -> bool:
+        """Accepted by an earlier process and never attempted since."""
         return self.untried and not self.attempts
 
     @property
     def window_ends(self) -> float:
-        """From then on its key does not keep a repeat from counting twice."""
+        """From then on the key no longer keeps a repeat from being executed twice."""
         return self.ran_at + self.cls.window_ms if self.cls.effect is Effect.KEYED else math.inf
 
     def start_over(self) -> None:
-        self.first, self.plans, self.retries = None, None, FIRST_RETRIES
+        self.first_endpoint, self.plans, self.retries_left = None, None, RETRIES_AT_FIRST_ENDPOINT
 
 
 class Destination:
-    """A partner: its endpoints, the messages held for it and the calls out to it."""
+    """A partner: its endpoints, the messages held for it and its calls in flight."""
 
     def __init__(self) -> None:
         self.endpoints: list[Endpoint] = []
         self.held: dict[int, Message] = {}
-        self.unsent: dict[int, Message] = {}  # of them, those that nobody has tried, and this process took on
+        self.unsent: dict[int, Message] = {}  # those held that this process accepted and nobody tried
         self.calls: dict[int, Call] = {}
-        self.stretch = 1.0  # its calls' time over that of the class
-        self.backlog = 0.0  # the time that what is held takes at the pace allowed from outside; 0 without one
+        self.latency_factor = 1.0  # its call time over that of the class
+        self.backlog = 0.0  # ms to send what is held at the allowed rate; 0 without an allowance
 
     def hold(self, message: Message) -> None:
         self.held[message.id] = message
-        if not message.attempts and not message.owed:
+        if not message.attempts and not message.inherited_untried:
             self.unsent[message.id] = message
 
     def release(self, message: Message) -> None:
         self.held.pop(message.id, None)
         self.unsent.pop(message.id, None)
 
-    def note_backlog(self, now: float, kinds: list[api.Kind]) -> None:
-        """Where more is held than can go in time, most will be late or refused: then what is worth most now
-        goes first, since the others will not have their turn before their time is up either."""
+    def update_backlog(self, now: float, kinds: list[api.Kind]) -> None:
+        """A backlog past the aim makes most messages late or refused: urgency then favours what is worth most
+        now, since the others would not be sent in time anyway."""
         batches = {endpoint.lane: kinds[endpoint.kind].batch for endpoint in self.endpoints}
-        pace = 0.0
+        rate = 0.0
         for lane, batch in batches.items():
             if now >= lane.allowed_until or not lane.allowed_gap:
-                pace = math.inf
+                rate = math.inf
                 break
-            pace += batch / lane.allowed_gap
-        self.backlog = len(self.held) / pace if pace else 0.0
+            rate += batch / lane.allowed_gap
+        self.backlog = len(self.held) / rate if rate else 0.0
 
 
-class Turn:
-    """The messages that share a key of order, in the order in which they were taken."""
+class KeyQueue:
+    """The messages that share an ordering key, in the order in which they were accepted."""
 
     def __init__(self) -> None:
-        self.line: deque[Message] = deque()
-        self.rests_until = -math.inf
+        self.messages: deque[Message] = deque()
+        self.paused_until = -math.inf
 
 
 class Dispatcher:
-    """Decides for one dispatcher: give it each batch of events, carry out what it returns."""
+    """Decides for one dispatcher: `handle` takes each batch of events and returns the actions to take."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -362,96 +381,96 @@
         self.lanes: dict[object, Lane] = {}
         self.destinations: defaultdict[int, Destination] = defaultdict(Destination)
         self.messages: dict[int, Message] = {}
-        self.turns: dict[int, Turn] = {}
+        self.key_queues: dict[int, KeyQueue] = {}
         self.quotas = [-math.inf] * len(settings.tenants)
-        self.detached: set[str] = set()  # endpoints taken out by operators, listed or not
-        self.returns: set[str] = set()  # those given back while not listed
-        self.ends: list[tuple[float, int]] = []
-        self.expected_ms: dict[str, float] = {}  # by class: its calls' usual time
-        self.learn_classes(settings.classes)
+        self.detached: set[str] = set()  # endpoints taken out by operators, whether listed or not
+        self.reattached: set[str] = set()  # endpoints attached again while not listed
+        self.expiries: list[tuple[float, int]] = []
+        self.expected_ms: dict[str, float] = {}  # by class: expected call time
+        self.add_classes(settings.classes)
         self.slots_in_use = self.calls_made = 0
-        self.slow: set[Endpoint] = set()  # as of the latest dispatch
-        self.lent: dict[int, Call] = {}  # by the earlier process's number, within one moment
-        self.wakes_at = self.leaves_at = math.inf
-        self.parked: deque[tuple[float, Endpoint]] = deque()  # connections in the order of falling idle
-        self.keep, self.keep_at = settings.conn_idle_ms, 0.0
-        self.lines: dict[Destination, tuple[float, dict[int, Message]]] = {}  # see `waiting`
-        self.proven, self.proven_at = 0.0, -math.inf  # the longest idling of late that did no harm
-        self.asks, self.ask_at = 0, -math.inf if settings.subscribes else math.inf
+        self.slow_endpoints: set[Endpoint] = set()  # as of the latest `dispatch`
+        self.adopted_calls: dict[int, Call] = {}  # by the earlier process's call id, within one batch
+        self.timer_at = self.shutdown_at = math.inf
+        self.idle_queue: deque[tuple[float, Endpoint]] = deque()  # connections, in the order of becoming idle
+        self.idle_limit, self.idle_limit_at = settings.conn_idle_ms, 0.0
+        self.urgency_order: dict[Destination, tuple[float, dict[int, Message]]] = {}  # see `by_urgency`
+        self.proven_idle_ms, self.proven_idle_at = 0.0, -math.inf  # longest recent idle time without harm
+        self.list_requests, self.list_request_at = 0, -math.inf if settings.subscribes else math.inf
 
     def handle(self, now_ms: float, events: list[api.Event]) -> list[api.Action]:
-        """Take the events of one moment, in order, and say what to do now."""
+        """Applies a batch of events in order, returns the actions to take. `now_ms` must not decrease."""
         if now_ms < self.now:
-            raise ValueError(f"time runs backwards: {now_ms} after {self.now}; hand batches in in order")
+            raise ValueError(f"time runs backwards: {now_ms} after {self.now}; pass batches in order of time")
         self.now, self.actions = now_ms, []
         for event in events:
             try:
-                self.take(event)
-            except ValueError as error:  # the others of the moment hold all the same
+                self.handle_event(event)
+            except ValueError as error:  # the rest of the batch still applies
                 self.actions.append(api.Log(f"left out: {error}"))
-        self.lent.clear()
-        self.ask_for_list()
-        self.end_late()
-        self.hang_up()
+        self.adopted_calls.clear()
+        self.request_list()
+        self.expire_overdue()
+        self.close_idle()
         if self.settings.may_cancel:
-            self.abandon()
+            self.cancel_lost_calls()
         self.dispatch()
-        self.set_alarm()
+        self.set_timer()
         return self.actions
 
-    def take(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         if isinstance(event, AttemptEnded):
-            self.attempt_ended(event)
+            self.end_attempt(event)
         elif isinstance(event, api.MessageAccepted):
-            self.arrived(event)
+            self.accept(event)
         elif isinstance(event, api.EndpointListReceived):
-            self.listed(event)
+            self.update_list(event)
         elif isinstance(event, api.Withdrawn) and event.message in self.messages:
             self.close(self.messages[event.message])
         elif isinstance(event, api.TimerFired):
-            self.wakes_at = math.inf  # a clock that rounds may wake us a trifle early
+            self.timer_at = math.inf  # a rounding clock may fire slightly early
         elif isinstance(event, api.IdleConnectionClosed) and event.endpoint in self.endpoints:
             del self.endpoints[event.endpoint].idle[:1]
         elif isinstance(event, api.ColdStateRestored) and event.endpoint in self.endpoints:
-            self.remembered(self.endpoints[event.endpoint], event.pace_per_s)
+            self.restore_cold_state(self.endpoints[event.endpoint], event.pace_per_s)
         elif isinstance(event, api.ShutdownScheduled):
-            self.leaves_at = self.now + event.in_ms
+            self.shutdown_at = self.now + event.in_ms
         elif isinstance(event, api.SendAllowance) and event.lane in self.lanes:
-            self.lanes[event.lane].allow(self.now, event)
+            self.lanes[event.lane].apply_allowance(self.now, event)
         elif isinstance(event, api.Detached):
             self.detach(event.endpoint)
         elif isinstance(event, api.Attached):
             self.attach(event.endpoint)
         elif isinstance(event, api.Reconfigured):
-            self.reconfigured(event.settings)
+            self.reconfigure(event.settings)
         elif isinstance(event, api.LearnedStateRestored):
             learned.restore(self, dict(event.told), event.ahead_ms)
 
     # New settings
 
-    def learn_classes(self, classes: tuple[api.MessageClass, ...]) -> None:
+    def add_classes(self, classes: tuple[api.MessageClass, ...]) -> None:
         for cls in classes:
-            self.expected_ms.setdefault(cls.name, FIRST_USUAL * cls.aim_ms)
+            self.expected_ms.setdefault(cls.name, INITIAL_CALL_AIMS * cls.aim_ms)
 
-    def reconfigured(self, settings: Settings) -> None:
-        """Messages hold the terms that they were taken under; a class that is gone goes with the last."""
+    def reconfigure(self, settings: Settings) -> None:
+        """Messages keep the terms of their acceptance; a removed class goes with its last message."""
         self.settings = settings
         held = {message.cls.name for message in self.messages.values()}
         names = held | {cls.name for cls in settings.classes}
         self.expected_ms = {
             name: expected_ms for name, expected_ms in self.expected_ms.items() if name in names
         }
-        self.learn_classes(settings.classes)
+        self.add_classes(settings.classes)
         self.quotas = (self.quotas + [-math.inf] * len(settings.tenants))[: len(settings.tenants)]
         for destination in self.destinations.values():
-            self.share_need(destination)
+            self.divide_useful_rate(destination)
 
-    # Maintenance: operators take endpoints out and give them back. Guards against work for what is being
-    # restarted; its return is that from an outage, since it starts cold, but nothing speaks against it.
+    # Maintenance: operators detach endpoints, so that nothing is sent to one that is being restarted. It
+    # comes back as from an outage, since it starts cold, but without a bad score.
 
     def detach(self, name: str) -> None:
         self.detached.add(name)
-        self.returns.discard(name)
+        self.reattached.discard(name)
         if endpoint := self.endpoints.get(name):
             endpoint.detached = True
             endpoint.idle.clear()
@@ -463,79 +482,86 @@
         self.detached.discard(name)
         endpoint = self.endpoints.get(name)
         if endpoint is None:
-            self.returns.add(name)
+            self.reattached.add(name)
             return
         endpoint.detached = False
-        self.restarted(endpoint)
+        self.mark_restarted(endpoint)
 
-    def restarted(self, endpoint: Endpoint) -> None:
-        endpoint.strikes, endpoint.score, endpoint.served_at = 0, max(endpoint.score, PRIOR), -math.inf
-        pace = endpoint.lane.part()
-        self.remembered(endpoint, pace)
-        self.actions.append(api.RecordColdState(endpoint.name, True, pace))
+    def mark_restarted(self, endpoint: Endpoint) -> None:
+        endpoint.strikes, endpoint.score, endpoint.served_at = 0, max(endpoint.score, PRIOR_SCORE), -math.inf
+        rate = endpoint.lane.served_per_s()
+        self.restore_cold_state(endpoint, rate)
+        self.actions.append(api.RecordColdState(endpoint.name, True, rate))
 
     def count_unavailable(self) -> int:
-        """How many listed endpoints get no ordinary calls now, by operators' word or by the breaker."""
+        """The number of listed endpoints that are detached or tripped."""
         listed = (e for e in self.endpoints.values() if e.state is not State.GONE)
         return sum(1 for endpoint in listed if endpoint.detached or endpoint.tripped)
 
-    # The list
+    # The list of endpoints
 
-    def ask_for_list(self) -> None:
-        if self.now >= self.ask_at:
-            self.asks, self.ask_at = self.asks + 1, math.inf
+    def request_list(self) -> None:
+        if self.now >= self.list_request_at:
+            self.list_requests, self.list_request_at = self.list_requests + 1, math.inf
             self.actions.append(api.Subscribe())
 
-    def listed(self, news: api.EndpointListReceived) -> None:
-        if news.kind is api.ListKind.FAILED:
-            # Guards against a stale list: the directory is asked again, ever more rarely, never in step.
-            rest = min(RESUBSCRIBE_MS * 2.0 ** min(self.asks, 8) / 2.0, RESUBSCRIBE_TOP_MS)
-            self.ask_at = self.now + rest * self.random.uniform(*JITTER)
+    def update_list(self, update: api.EndpointListReceived) -> None:
+        if update.kind is api.ListKind.FAILED:
+            # Asked again with exponential backoff and jitter, since otherwise the list goes stale.
+            backoff_ms = min(
+                RESUBSCRIBE_BACKOFF_MS * 2.0 ** min(self.list_requests, 8) / 2.0, MAX_RESUBSCRIBE_BACKOFF_MS
+            )
+            self.list_request_at = self.now + backoff_ms * self.random.uniform(*JITTER)
             return
-        if news.kind is not api.ListKind.CACHED:
-            self.asks = 0
-        if news.kind is not api.ListKind.DELTA:
-            named = {entry.endpoint for entry in news.entries}
+        if update.kind is not api.ListKind.CACHED:
+            self.list_requests = 0
+        if update.kind is not api.ListKind.DELTA:
+            named = {entry.endpoint for entry in update.entries}
             for endpoint in self.endpoints.values():
                 if endpoint.name not in named:
                     endpoint.state = State.GONE
-        for entry in news.entries:
+        for entry in update.entries:
             try:
-                self.enter(entry)
+                self.upsert_endpoint(entry)
             except ValueError as error:
                 self.actions.append(api.Log(f"left out: {error}"))
-        self.forget_gone()
+        self.remove_gone()
 
-    def forget_gone(self) -> None:
-        """Guards against growth where endpoints come and go; a lane is remembered for a while."""
+    def remove_gone(self) -> None:
+        """Bounds memory where endpoints come and go; a lane stays for a while, with its limits."""
         for endpoint in [e for e in self.endpoints.values() if e.state is State.GONE]:
-            self.remove(endpoint)
+            self.remove_endpoint(endpoint)
         for key, lane in list(self.lanes.items()):
-            if not lane.endpoints and max(lane.wait_until, lane.sent.at + PART_MS) <= self.now:
+            if (
+                not lane.endpoints
+                and max(lane.wait_until, lane.sent_rate.at + SERVED_RATE_WINDOW_MS) <= self.now
+            ):
                 del self.lanes[key]
         for number, destination in list(self.destinations.items()):
             if not (destination.endpoints or destination.held or destination.calls or number in self.lanes):
                 del self.destinations[number]
 
-    def remove(self, endpoint: Endpoint) -> None:
+    def remove_endpoint(self, endpoint: Endpoint) -> None:
         if endpoint.calls or self.endpoints.get(endpoint.name) is not endpoint:
             return
         del self.endpoints[endpoint.name]
         endpoint.lane.endpoints.remove(endpoint)
         endpoint.destination.endpoints.remove(endpoint)
         endpoint.idle.clear()
-        self.share_need(endpoint.destination)
+        self.divide_useful_rate(endpoint.destination)
 
-    def share_need(self, destination: Destination) -> None:
-        """The pace of calls beyond which messages would only be gathered less, shared among its lanes."""
+    def divide_useful_rate(self, destination: Destination) -> None:
+        """Divides among the lanes the call rate beyond which calls would only carry smaller batches."""
         lanes = {e.lane for e in destination.endpoints if self.settings.kinds[e.kind].batch > 1}
-        gap = GATHER * min(cls.aim_ms for cls in self.settings.classes)
+        gap = BATCHING_AIM_SHARE * min(cls.aim_ms for cls in self.settings.classes)
         for lane in lanes:
-            lane.enough = max(1000.0 / (gap * len(lanes)), GUESS_PER_S / self.settings.dispatchers)
+            lane.useful_rate = max(
+                1000.0 / (gap * len(lanes)), DEFAULT_RATE_PER_S / self.settings.dispatchers
+            )
 
-    def enter(self, entry: api.Entry) -> None:
+    def upsert_endpoint(self, entry: api.Entry) -> None:
         if entry.kind >= len(self.settings.kinds) or entry.zone >= len(self.settings.zones):
-            raise ValueError(f"endpoint {entry.endpoint}: kind or zone is not one of the settings'")
+            raise ValueError(f"endpoint {entry.endpoint}: kind or zone is not in the settings")
         endpoint = self.endpoints.get(entry.endpoint)
         kind = self.settings.kinds[entry.kind]
         if endpoint is None:
@@ -546,333 +572,348 @@
             endpoint = self.endpoints[entry.endpoint] = Endpoint(entry, lane, destination)
             lane.endpoints.append(endpoint)
             destination.endpoints.append(endpoint)
-            self.share_need(destination)
+            self.divide_useful_rate(destination)
             endpoint.detached = entry.endpoint in self.detached
-            if entry.endpoint in self.returns:
-                self.returns.discard(entry.endpoint)
-                self.restarted(endpoint)
+            if entry.endpoint in self.reattached:
+                self.reattached.discard(entry.endpoint)
+                self.mark_restarted(endpoint)
         endpoint.state = entry.state
         if self.settings.advertised_rates and entry.rate_per_s > 0:
             lane = endpoint.lane
-            if lane.told_rate == 0.0:  # the pace starts there; refusals and time then move it
+            if lane.advertised_rate == 0.0:  # the initial limit, then moved by refusals and time
                 lane.pace, lane.cut_at = entry.rate_per_s, self.now
-            lane.told_rate = entry.rate_per_s
+            lane.advertised_rate = entry.rate_per_s
 
     # Messages
 
-    def arrived(self, event: api.MessageAccepted) -> None:
+    def accept(self, event: api.MessageAccepted) -> None:
         terms = event.terms
         if terms is None:
             if event.cls >= len(self.settings.classes):
                 self.actions.append(api.Refuse(event.message))
-                raise ValueError(f"message {event.message}: class {event.cls} is not one of the settings'")
+                raise ValueError(f"message {event.message}: class {event.cls} is not in the settings")
             terms = api.Terms(self.settings.classes[event.cls], self.settings.max_attempts)
-        self.learn_classes((terms.cls,))
+        self.add_classes((terms.cls,))
         destination = self.destinations[event.destination]
         message = Message(event, terms, destination, self.now)
-        if self.over_share(event.tenant):
+        if self.exceeds_allowance(event.tenant):
             message.worth *= self.settings.over_share_worth
         self.messages[event.message] = message
         if message.key:
-            self.turn(message.key).line.append(message)
+            self.key_queue(message.key).messages.append(message)
         message.attempts += [None] * event.attempts
-        if event.ran_ago_ms is not None:  # under an earlier process
+        if event.ran_ago_ms is not None:  # in an earlier process
             ran = self.endpoints.get(event.ran_endpoint)
             message.ran_at, message.ran_zone = self.now - event.ran_ago_ms, ran.zone if ran else -1
         if event.out:
-            for lent in event.out:
-                self.take_over(message, lent)
+            for inherited in event.out:
+                self.adopt_attempt(message, inherited)
             return
-        if event.attempts and not self.may_resend(message):
+        if event.attempts and not self.may_retry(message):
             self.give_up(message)
             return
         self.hold(message)
-        if len(self.messages) > FULL_HOUSE * self.settings.max_held:
+        if len(self.messages) > SHED_THRESHOLD * self.settings.max_held:
             self.shed()
 
-    def take_over(self, message: Message, lent: api.AttemptInProgress) -> None:
-        """An earlier process has the call out: it holds its slot here and its key's turn until it ends."""
-        call = self.lent.get(lent.call)
+    def adopt_attempt(self, message: Message, inherited: api.AttemptInProgress) -> None:
+        """The earlier process's call holds a slot here, and its place in the key's queue, until it ends."""
+        call = self.adopted_calls.get(inherited.call)
         if call is None:
-            destination, endpoint = message.destination, self.endpoints.get(lent.endpoint)
-            if endpoint is None:  # it has left the list, and its call goes on
-                gone = api.Entry(lent.endpoint, 0, state=State.GONE)
+            destination, endpoint = message.destination, self.endpoints.get(inherited.endpoint)
+            if endpoint is None:  # no longer listed, but its call continues
+                gone = api.Entry(inherited.endpoint, 0, state=State.GONE)
                 endpoint = Endpoint(gone, Lane(), destination)
                 endpoint.state = State.GONE
             self.calls_made += 1
-            sent_at = self.now - lent.sent_ago_ms
-            call = Call(self.calls_made, endpoint, message, sent_at, self.usual_call(message))
-            self.lent[lent.call] = call
+            sent_at = self.now - inherited.sent_ago_ms
+            call = Call(self.calls_made, endpoint, message, sent_at, self.expected_call_ms(message))
+            self.adopted_calls[inherited.call] = call
             self.slots_in_use += 1
             destination.calls[call.number] = endpoint.calls[call.number] = call
-        message.attempts += [None] * (lent.attempt + 1 - len(message.attempts))
-        message.attempts[lent.attempt] = call
-        message.first = message.first or call.endpoint
-        call.carry(message, lent.attempt)
+        message.attempts += [None] * (inherited.attempt + 1 - len(message.attempts))
+        message.attempts[inherited.attempt] = call
+        message.first_endpoint = message.first_endpoint or call.endpoint
+        call.add(message, inherited.attempt)
 
-    def over_share(self, tenant: int) -> bool:
-        """Guards against a tenant that floods: beyond our part of its allowance its messages count little."""
+    def exceeds_allowance(self, tenant: int) -> bool:
+        """Messages past our share of the tenant's allowance lose worth: a flood must not harm others."""
         if tenant >= len(self.quotas) or self.settings.tenants[tenant].allowance_per_s <= 0:
             return False
         gap = 1000.0 * self.settings.dispatchers / self.settings.tenants[tenant].allowance_per_s
         ahead = max(self.quotas[tenant], self.now)
-        over = ahead - self.now > QUOTA_MS
+        over = ahead - self.now > ALLOWANCE_LEAD_MS
         self.quotas[tenant] = ahead if over else ahead + gap
         return over
 
     def shed(self) -> None:
-        """Load shedding: a full house turns messages away unseen, so the least worth where most wait goes."""
+        """Refuses the least worth untried message of the longest backlog: a full table would refuse any."""
         longest = max(self.destinations.values(), key=lambda d: len(d.held))
         if longest.unsent:
             unsent = longest.unsent.values()
             self.give_up(min(unsent, key=lambda m: (m.worth / m.cls.worth, self.urgency(m))))
 
-    def turn(self, key: int) -> Turn:
-        if key not in self.turns:
-            if len(self.turns) > 2 * self.settings.max_held:
-                self.turns = {k: t for k, t in self.turns.items() if t.line or t.rests_until > self.now}
-            self.turns[key] = Turn()
-        return self.turns[key]
+    def key_queue(self, key: int) -> KeyQueue:
+        if key not in self.key_queues:
+            if len(self.key_queues) > 2 * self.settings.max_held:
+                self.key_queues = {
+                    k: q for k, q in self.key_queues.items() if q.messages or q.paused_until > self.now
+                }
+            self.key_queues[key] = KeyQueue()
+        return self.key_queues[key]
 
     def hold(self, message: Message) -> None:
         message.destination.hold(message)
-        heapq.heappush(self.ends, (self.latest_start(message), message.id))
+        heapq.heappush(self.expiries, (self.latest_start(message), message.id))
 
     def latest_start(self, message: Message) -> float:
-        """Past this nothing is sent: a usual call would end too late, or a repeat would count twice. What was
-        taken on before a restart and never tried goes out for as long as it has any time."""
-        expected_ms = 0.0 if message.owed else self.usual_call(message)
+        """Past this nothing is sent: an expected call would end too late, or a repeat could be executed
+        twice. Messages accepted before a restart and never tried are sent until their deadline."""
+        expected_ms = 0.0 if message.inherited_untried else self.expected_call_ms(message)
         return min(message.deadline - expected_ms, message.window_ends)
 
-    def usual_call(self, message: Message) -> float:
-        return self.expected_ms[message.cls.name] * max(message.destination.stretch, 1.0)
+    def expected_call_ms(self, message: Message) -> float:
+        return self.expected_ms[message.cls.name] * max(message.destination.latency_factor, 1.0)
 
-    def end_late(self) -> None:
-        while self.ends and self.ends[0][0] <= self.now:
-            message = self.messages.get(heapq.heappop(self.ends)[1])
-            if message is None or message.over or message.id not in message.destination.held:
+    def expire_overdue(self) -> None:
+        while self.expiries and self.expiries[0][0] <= self.now:
+            message = self.messages.get(heapq.heappop(self.expiries)[1])
+            if message is None or message.closed or message.id not in message.destination.held:
                 continue
             if self.latest_start(message) > self.now:
-                heapq.heappush(self.ends, (self.latest_start(message), message.id))
+                heapq.heappush(self.expiries, (self.latest_start(message), message.id))
             else:
                 self.give_up(message)
 
     def give_up(self, message: Message) -> None:
-        """The final answer: what was never sent may safely come again, what was tried promises nothing."""
+        """Final answer: refused, hence safe to submit again, where nothing was sent; else failed."""
         if message.attempts:
             self.actions.append(api.Fail(message.id))
         else:
-            self.actions.append(api.Refuse(message.id, self.stay_away(message)))
+            self.actions.append(api.Refuse(message.id, self.client_wait_ms(message)))
         self.close(message)
 
-    def stay_away(self, message: Message) -> float:
-        """When to come back: not before an endpoint may open, as far as that can be told."""
+    def client_wait_ms(self, message: Message) -> float:
+        """Retry-after for the client: not before an endpoint is expected to be available."""
         ready = [e for e in message.destination.endpoints if e.ready]
-        opens = min((self.open_at(message, e) for e in ready), default=math.inf) - self.now
-        return max(PAUSE_MS, min(opens, REST_TOP_MS, self.settings.max_retry_after_ms))
+        available_in = min((self.available_at(message, e) for e in ready), default=math.inf) - self.now
+        return max(INITIAL_PAUSE_MS, min(available_in, MAX_BACKOFF_MS, self.settings.max_retry_after_ms))
 
     def close(self, message: Message) -> None:
-        """The message is over; its attempts that are still out are called off and awaited."""
+        """Ends the message; its attempts in flight are cancelled and their outcomes awaited."""
         message.destination.release(message)
-        if not message.over and self.settings.may_cancel:
+        if not message.closed and self.settings.may_cancel:
             for number, call in enumerate(message.attempts):
                 if call is not None:
                     self.actions.append(api.Cancel(message.id, number))
-        message.over = True
-        self.forget(message)
+        message.closed = True
+        self.discard_if_done(message)
 
-    def forget(self, message: Message) -> None:
-        if message.over and not message.out and self.messages.pop(message.id, None) and message.key:
-            self.turns[message.key].line.remove(message)
+    def discard_if_done(self, message: Message) -> None:
+        if message.closed and not message.in_flight and self.messages.pop(message.id, None) and message.key:
+            self.key_queues[message.key].messages.remove(message)
 
     # Outcomes
 
-    def attempt_ended(self, event: AttemptEnded) -> None:
+    def end_attempt(self, event: AttemptEnded) -> None:
         message = self.messages.get(event.message)
         call = message.attempts[event.attempt] if message and event.attempt < len(message.attempts) else None
         if call is None:
             return
         message.attempts[event.attempt] = None
-        message.out -= 1
+        message.in_flight -= 1
         if call.abandoned and event.outcome is Outcome.CANCELLED:
-            event = replace(event, outcome=Outcome.TIMEOUT)  # and that is what it was
-        if event.outcome is Outcome.NOT_EXECUTED and self.now >= call.start_by - LOOKS_MS:
-            call.endpoint.came_up = True
+            event = replace(event, outcome=Outcome.TIMEOUT)  # it was cancelled as lost
+        if event.outcome is Outcome.NOT_EXECUTED and self.now >= call.start_by - START_CHECK_MS:
+            call.endpoint.connected_late = True
             event = replace(event, outcome=Outcome.CONNECT_FAILED)
-        self.settle(call, event)
+        self.finish_attempt(call, event)
         if not event.outcome.never_ran and call.sent_at < message.ran_at:
             message.ran_at, message.ran_zone = call.sent_at, call.endpoint.zone
         if message.key and event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            self.turns[message.key].rests_until = self.now + self.settings.order_settle_ms
-        if message.over:
-            self.forget(message)
+            self.key_queues[message.key].paused_until = self.now + self.settings.order_settle_ms
+        if message.closed:
+            self.discard_if_done(message)
         elif event.finished:
             self.close(message)
-        elif not message.out:
-            self.try_further(message, call, event.outcome)
+        elif not message.in_flight:
+            self.schedule_retry(message, call, event.outcome)
 
-    def settle(self, call: Call, event: AttemptEnded) -> None:
-        """Free the slot when all messages of the call are back; learn from a call once."""
-        call.left -= 1
-        if not call.left:
+    def finish_attempt(self, call: Call, event: AttemptEnded) -> None:
+        """Frees the slot once all attempts of the call have ended; each call is learned from once."""
+        call.pending -= 1
+        if not call.pending:
             self.slots_in_use -= 1
             del call.destination.calls[call.number], call.endpoint.calls[call.number]
-            self.note_connection(call, event)
+            self.track_connection(call, event)
             if call.endpoint.state is State.GONE:
-                self.remove(call.endpoint)
-        call.endpoint.lane.heed(self.now, event.wait_ms)  # each message of a call may tell a wait of its own
-        if call.judged or event.outcome in (Outcome.NOT_EXECUTED, Outcome.CANCELLED):
+                self.remove_endpoint(call.endpoint)
+        # Each message of a call may bring its own wait.
+        call.endpoint.lane.respect_wait(self.now, event.wait_ms)
+        if call.recorded or event.outcome in (Outcome.NOT_EXECUTED, Outcome.CANCELLED):
             return
-        call.judged = True
+        call.recorded = True
         if event.outcome is Outcome.CONNECT_FAILED and not call.endpoint.strikes:
-            self.shorten_keep_alive(max(self.keep_ms(), KEEP_FULL * self.settings.conn_idle_ms))
-        elif call.idle_ms and event.outcome in (Outcome.RESET, Outcome.TIMEOUT) and not self.lasts(call):
+            self.shorten_keep_alive(
+                max(self.idle_limit_ms(), KEEP_ALIVE_CONNECT_FAILED * self.settings.conn_idle_ms)
+            )
+        elif (
+            call.idle_ms
+            and event.outcome in (Outcome.RESET, Outcome.TIMEOUT)
+            and not self.idle_time_proven(call)
+        ):
             self.shorten_keep_alive(call.idle_ms)
             return
-        self.learn(call.endpoint, event.outcome, call.sent_at, event.wait_ms)
+        self.record_outcome(call.endpoint, event.outcome, call.sent_at, event.wait_ms)
         if event.outcome is Outcome.OK:
-            self.time_call(call, event.took_ms)
+            self.update_estimates(call, event.took_ms)
             for other in call.endpoint.calls.values():
                 other.overtaken += other.sent_at < call.sent_at
 
-    def note_connection(self, call: Call, event: AttemptEnded) -> None:
-        """Which connections are idle: as told, or else as the outcome has it."""
+    def track_connection(self, call: Call, event: AttemptEnded) -> None:
+        """Tracks idle connections, as reported or else as the outcome implies."""
         if event.idled_ms is not None:
             if call.idle_ms and not event.idled_ms:
-                call.endpoint.idle.clear()  # an idle one would have been used: none was left
+                call.endpoint.idle.clear()  # the call opened a new one, so no idle one was left
             call.idle_ms = event.idled_ms
         kept = (
             event.outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL) if event.kept is None else event.kept
         )
         if kept:
             call.endpoint.idle.append(self.now)
-            self.parked.append((self.now, call.endpoint))
+            self.idle_queue.append((self.now, call.endpoint))
 
-    # Connections are kept idle for as long as they are seen to last. Guards against those dropped unseen, on
-    # which a message may be lost; such a failure tells nothing of the endpoint. Guards as well against tables
-    # full of idle ones, where connects fail. It hurts where an outage is taken for either: more handshakes.
+    # Idle connections are kept only for as long as they are known to last: a message may be lost on one that
+    # was dropped silently (which says nothing about the endpoint), and connects fail where connection tables
+    # are full of idle ones. Drawback: an outage taken for either costs more handshakes.
 
-    def keep_ms(self) -> float:
-        grown = self.keep * 2.0 ** min((self.now - self.keep_at) / KEEP_DOUBLES_MS, 64.0)
+    def idle_limit_ms(self) -> float:
+        grown = self.idle_limit * 2.0 ** min((self.now - self.idle_limit_at) / KEEP_ALIVE_DOUBLING_MS, 64.0)
         return min(grown, self.settings.conn_idle_ms)
 
-    def lasts(self, call: Call) -> bool:
-        """Another call was answered of late on a connection that had idled as long: it is not to blame."""
-        return self.proven >= call.idle_ms and self.proven_at >= call.sent_at - FLOW_MS
+    def idle_time_proven(self, call: Call) -> bool:
+        """A recent call was answered on a connection idle as long, so idling is not the cause."""
+        return self.proven_idle_ms >= call.idle_ms and self.proven_idle_at >= call.sent_at - RATE_WINDOW_MS
 
     def shorten_keep_alive(self, idle_ms: float) -> None:
-        self.keep = max(min(self.keep_ms(), KEEP_CUT * idle_ms), KEEP_LEAST * self.settings.conn_idle_ms)
-        self.keep_at = self.now
+        self.idle_limit = max(
+            min(self.idle_limit_ms(), KEEP_ALIVE_CUT * idle_ms), KEEP_ALIVE_MIN * self.settings.conn_idle_ms
+        )
+        self.idle_limit_at = self.now
 
-    def hang_up(self) -> None:
-        oldest = self.now - self.keep_ms()
-        while self.parked and self.parked[0][0] <= oldest:
-            endpoint = self.parked.popleft()[1]
+    def close_idle(self) -> None:
+        oldest = self.now - self.idle_limit_ms()
+        while self.idle_queue and self.idle_queue[0][0] <= oldest:
+            endpoint = self.idle_queue.popleft()[1]
             if endpoint.idle and endpoint.idle[0] <= oldest:
                 endpoint.idle.clear()
                 self.actions.append(api.CloseIdleConnections(endpoint.name))
 
-    def time_call(self, call: Call, took: float) -> None:
-        if call.idle_ms >= self.proven or self.now - self.proven_at > FLOW_MS:
-            self.proven, self.proven_at = call.idle_ms, self.now
-        if call.cls not in self.expected_ms:  # its class was dropped, and its last message withdrawn
+    def update_estimates(self, call: Call, took_ms: float) -> None:
+        if call.idle_ms >= self.proven_idle_ms or self.now - self.proven_idle_at > RATE_WINDOW_MS:
+            self.proven_idle_ms, self.proven_idle_at = call.idle_ms, self.now
+        if call.cls not in self.expected_ms:  # the class was removed and its last message withdrawn
             return
-        ratio = took / self.expected_ms[call.cls]
+        ratio = took_ms / self.expected_ms[call.cls]
         destination = call.destination
-        destination.stretch += STRETCH_GAIN * (ratio - destination.stretch)
-        expected = took / max(destination.stretch, LEAST_STRETCH)
-        self.expected_ms[call.cls] += USUAL_GAIN * (expected - self.expected_ms[call.cls])
+        destination.latency_factor += LATENCY_GAIN * (ratio - destination.latency_factor)
+        expected = took_ms / max(destination.latency_factor, MIN_LATENCY_FACTOR)
+        self.expected_ms[call.cls] += EXPECTED_GAIN * (expected - self.expected_ms[call.cls])
 
-    def learn(self, endpoint: Endpoint, outcome: Outcome, sent_at: float, told_wait: float) -> None:
-        """Score the endpoint, keep its lane's limit and its breaker."""
+    def record_outcome(self, endpoint: Endpoint, outcome: Outcome, sent_at: float, wait_ms: float) -> None:
+        """Updates the endpoint's score and breaker, and its lane's rate limit."""
         success = outcome is Outcome.OK
-        endpoint.rate(self.now, success)
+        endpoint.update_score(self.now, success)
         if outcome is not Outcome.CONNECT_FAILED and outcome is not Outcome.TIMEOUT:
             endpoint.answered_at = endpoint.lane.answered_at = self.now
         if success:
             endpoint.strikes, endpoint.lane.strikes = 0, 0.0
-            self.recovered(endpoint)
-            endpoint.came_up = False
+            self.close_breaker(endpoint)
+            endpoint.connected_late = False
             endpoint.served_at = endpoint.lane.served_at = self.now
-            endpoint.blamed = False
-            endpoint.lane.note_taken(self.now, endpoint.cold)
+            endpoint.at_fault = False
+            endpoint.lane.note_served(self.now, endpoint.cold)
             return
         endpoint.failed_at = self.now
-        shut = told_wait > self.settings.fall_ms
-        endpoint.blamed |= shut or outcome in (Outcome.ERROR, Outcome.TIMEOUT)
+        long_wait = wait_ms > self.settings.fall_ms
+        endpoint.at_fault |= long_wait or outcome in (Outcome.ERROR, Outcome.TIMEOUT)
         if outcome is Outcome.FULL:
-            endpoint.lane.note_full(self.now, sent_at, told_wait, self.random, self.settings.dispatchers)
-        unheard = outcome is Outcome.CONNECT_FAILED and self.now - sent_at > SILENCE_MS
-        if sent_at >= endpoint.struck_at:
-            strikes = 2.0 if unheard else STRIKE.get(outcome, 2.0)
+            endpoint.lane.note_refusal(self.now, sent_at, wait_ms, self.random, self.settings.dispatchers)
+        unanswered = outcome is Outcome.CONNECT_FAILED and self.now - sent_at > UNANSWERED_CONNECT_MS
+        if sent_at >= endpoint.last_strike_at:
+            strikes = 2.0 if unanswered else STRIKE_WEIGHTS.get(outcome, 2.0)
             endpoint.strikes += strikes
             if not endpoint.tripped and outcome is not Outcome.FULL:
-                endpoint.lane.strikes += 2.0 if unheard else min(strikes, 1.0)  # others may be at fault
-            if unheard:
-                endpoint.lane.unheard_at = self.now
-            endpoint.struck_at = self.now
-        failing = endpoint.score < PRIOR and endpoint.strikes > 2  # one refusal proves no outage
-        unheard = unheard and endpoint.answered_at < sent_at
-        if endpoint.strikes >= STRIKES or failing or shut or unheard:
+                # At most one strike where the cause may be elsewhere.
+                endpoint.lane.strikes += 2.0 if unanswered else min(strikes, 1.0)
+            if unanswered:
+                endpoint.lane.connect_unanswered_at = self.now
+            endpoint.last_strike_at = self.now
+        failing = endpoint.score < PRIOR_SCORE and endpoint.strikes > 2  # one refusal is no outage
+        unanswered = unanswered and endpoint.answered_at < sent_at
+        if endpoint.strikes >= STRIKES_TO_TRIP or failing or long_wait or unanswered:
             self.trip(endpoint, sent_at)
-        self.trip_others(endpoint, sent_at, unheard)
+        self.trip_siblings(endpoint, sent_at, unanswered)
 
-    # Outages: a circuit breaker that opens on failures of any kind, tries one call at a time while half open
-    # and then lets the endpoint warm up. It guards against pushing over what returns cold, and against
-    # feeding messages to what is down, shut or silent. It hurts where failures were chance: where these were
-    # the network's and it serves again at once, it is as warm as it was. That hurts if it restarted at once.
+    # Circuit breaker: opens on failures of any kind, permits one call at a time while half-open, then ramps
+    # up. A destination that recovers cold must not be overloaded, and one that is down or silent must get
+    # nothing. Drawback: chance failures trip it too. Where these were the network's and it serves again at
+    # once, there is no ramp, which is wrong if it restarted within that time.
 
     def trip(self, endpoint: Endpoint, sent_at: float, early: bool = True) -> None:
-        if endpoint.tripped and sent_at < endpoint.opens_at:
+        if endpoint.tripped and sent_at < endpoint.next_call_at:
             return
         gap = math.inf
         if not endpoint.cold:
-            endpoint.cold, gap = True, BLINK_TRIAL_MS
-            self.actions.append(api.RecordColdState(endpoint.name, True, endpoint.lane.part()))
+            endpoint.cold, gap = True, EARLY_TRIAL_MS
+            self.actions.append(api.RecordColdState(endpoint.name, True, endpoint.lane.served_per_s()))
         endpoint.tripped = True
-        if gap < math.inf and (not early or self.doubted(endpoint.lane)):  # no blink: as after a restart
-            endpoint.opens_at = self.now + self.cold_gap(endpoint) * self.random.random()
+        if gap < math.inf and (not early or self.connects_unanswered(endpoint.lane)):  # no chance failure
+            endpoint.next_call_at = self.now + self.cold_gap_ms(endpoint) * self.random.random()
             return
-        gap = min(self.cold_gap(endpoint), gap)
-        endpoint.opens_at = self.now + gap * self.random.uniform(*JITTER)
+        gap = min(self.cold_gap_ms(endpoint), gap)
+        endpoint.next_call_at = self.now + gap * self.random.uniform(*JITTER)
 
-    def trip_others(self, endpoint: Endpoint, sent_at: float, unheard: bool) -> None:
-        """Guards against an outage of all of a lane's endpoints that each shows by a failure or two, for who
-        sends little: those that failed since one of them served trip together, and as connects come to
-        nothing, those beside it that have not answered since. It hurts where one outlived the others."""
+    def trip_siblings(self, endpoint: Endpoint, sent_at: float, unanswered: bool) -> None:
+        """A dispatcher that sends little sees an outage of a whole lane as a failure or two per endpoint. So
+        endpoints that failed since any of the lane served trip together, as do, after an unanswered connect,
+        those of its zone without an answer since. Drawback: an endpoint that survived may trip too."""
         lane = endpoint.lane
         for other in lane.endpoints:
-            quiet = unheard and other.zone == endpoint.zone and other.answered_at < sent_at
-            failing = lane.strikes > 2 and other.score_at(self.now) < PRIOR
-            if other.tripped or not (quiet or other.struck_at > lane.served_at):
+            quiet = unanswered and other.zone == endpoint.zone and other.answered_at < sent_at
+            failing = lane.strikes > 2 and other.score_at(self.now) < PRIOR_SCORE
+            if other.tripped or not (quiet or other.last_strike_at > lane.served_at):
                 continue
-            if lane.strikes >= STRIKES or failing:
+            if lane.strikes >= STRIKES_TO_TRIP or failing:
                 self.trip(other, sent_at, early=False)
 
-    def remembered(self, endpoint: Endpoint, pace: float) -> None:
-        """Guards against a restart in mid-outage: what was cold before it is tried as if none had been."""
-        taken = endpoint.lane.taken
-        taken.count, taken.at, taken.since = pace * PART_MS / 1000.0, self.now, -math.inf
+    def restore_cold_state(self, endpoint: Endpoint, rate: float) -> None:
+        """An endpoint that was cold before a restart of this process is not treated as healthy after it."""
+        served = endpoint.lane.served_rate
+        served.count, served.at, served.since = rate * SERVED_RATE_WINDOW_MS / 1000.0, self.now, -math.inf
         endpoint.cold = endpoint.tripped = True
         endpoint.failed_at = self.now
-        # Many may have restarted together, at the return even: their first trials come as a stream, at the
-        # pace of trials in an outage. One alone need not wait, and few wait less.
-        spread = self.cold_gap(endpoint) * (1.0 - 1.0 / self.settings.dispatchers)
-        endpoint.warm, endpoint.opens_at = self.settings.cold_from, self.now + self.random.random() * spread
+        # Many dispatchers may restart together, even as the endpoint recovers: first trials are spread to the
+        # trial rate of an outage. A single dispatcher need not wait, and few wait less.
+        spread = self.cold_gap_ms(endpoint) * (1.0 - 1.0 / self.settings.dispatchers)
+        endpoint.warm, endpoint.next_call_at = (
+            self.settings.cold_from,
+            self.now + self.random.random() * spread,
+        )
 
-    def recovered(self, endpoint: Endpoint) -> None:
+    def close_breaker(self, endpoint: Endpoint) -> None:
         if endpoint.tripped:
-            # It returned at some time since it was last seen to fail: in the middle, on the mean of all.
-            unseen = min(self.now - endpoint.failed_at, UNSEEN_MS) / 2.0
-            endpoint.tripped, endpoint.strikes, endpoint.score = False, 0, max(endpoint.score, PRIOR)
-            if endpoint.blamed or self.now - endpoint.served_at > BLINK_MS:
-                endpoint.warm, endpoint.warm_at = self.settings.cold_from, self.now - unseen
-                endpoint.opens_at = self.now + self.cold_gap(endpoint)
+            # It recovered at an unknown time since its last failure, on average in the middle.
+            unobserved = min(self.now - endpoint.failed_at, MAX_UNOBSERVED_MS) / 2.0
+            endpoint.tripped, endpoint.strikes, endpoint.score = False, 0, max(endpoint.score, PRIOR_SCORE)
+            if endpoint.at_fault or self.now - endpoint.served_at > BRIEF_OUTAGE_MS:
+                endpoint.warm, endpoint.warm_at = self.settings.cold_from, self.now - unobserved
+                endpoint.next_call_at = self.now + self.cold_gap_ms(endpoint)
             elif endpoint.warm == 1.0:
-                self.warmed(endpoint)
+                self.mark_warm(endpoint)
 
-    def warmth(self, endpoint: Endpoint) -> float:
-        """The share of its capacity that a returned endpoint is sure to have by now."""
+    def warm_share(self, endpoint: Endpoint) -> float:
+        """The share of its capacity that a recovered endpoint has regained by now."""
         if endpoint.tripped:
             return self.settings.cold_from
         if endpoint.warm == 1.0:
@@ -880,63 +921,69 @@
         grown = (1.0 - self.settings.cold_from) * (self.now - endpoint.warm_at)
         warm = min(endpoint.warm + grown / max(self.settings.warm_within_ms, 1.0), 1.0)
         if warm == 1.0:
-            self.warmed(endpoint)
+            self.mark_warm(endpoint)
         return warm
 
-    def warmed(self, endpoint: Endpoint) -> None:
+    def mark_warm(self, endpoint: Endpoint) -> None:
         endpoint.warm, endpoint.cold = 1.0, False
         self.actions.append(api.RecordColdState(endpoint.name, False))
 
-    def cold_gap(self, endpoint: Endpoint) -> float:
-        """Time between calls to an endpoint that is cold: our part of what it can do, as told or observed."""
+    def cold_gap_ms(self, endpoint: Endpoint) -> float:
+        """Ms between calls to a cold endpoint, from our share of its capacity, advertised or observed."""
         lane = endpoint.lane
-        pace = max(lane.part(), lane.told_rate / self.settings.dispatchers)
+        rate = max(lane.served_per_s(), lane.advertised_rate / self.settings.dispatchers)
         shared = sum(1 for other in lane.endpoints if other.ready) or 1
-        pace *= RETURN_SHARE * self.settings.fall_multiple * self.warmth(endpoint) / shared
-        if not endpoint.tripped:  # what it took before was asked of it, not all that it can do
+        rate *= COLD_RATE_SHARE * self.settings.fall_multiple * self.warm_share(endpoint) / shared
+        if not endpoint.tripped:  # past demand need not have been its full capacity
             quiet = self.now - max(endpoint.warm_at, endpoint.failed_at)
-            pace *= math.exp(RETURN_GROW_PER_S * quiet / 1000.0)
-        gap = min(1000.0 / max(pace, 1e-9), TRIAL_GAP_MS * self.settings.dispatchers * shared)
-        return max(gap / TRIAL_SHARE, PAUSE_MS) if endpoint.tripped else gap
+            rate *= math.exp(COLD_RATE_GROWTH_PER_S * quiet / 1000.0)
+        gap = min(1000.0 / max(rate, 1e-9), MAX_TRIAL_GAP_MS * self.settings.dispatchers * shared)
+        return max(gap / TRIAL_RATE_SHARE, INITIAL_PAUSE_MS) if endpoint.tripped else gap
 
-    # The mechanism: what to do with a message next
+    # Retries and failover
 
-    def try_further(self, message: Message, call: Call, outcome: Outcome) -> None:
-        """After a failed attempt: stay at the first endpoint for quick failures only, else the next plan."""
-        if not self.may_resend(message):
+    def schedule_retry(self, message: Message, call: Call, outcome: Outcome) -> None:
+        """After a failed attempt: quick failures are retried at the first endpoint, others move to a plan."""
+        if not self.may_retry(message):
             self.give_up(message)
             return
-        if outcome in (Outcome.ERROR, Outcome.RESET) and call.endpoint is message.first and message.retries:
-            message.retries -= 1
+        if (
+            outcome in (Outcome.ERROR, Outcome.RESET)
+            and call.endpoint is message.first_endpoint
+            and message.retries_left
+        ):
+            message.retries_left -= 1
         elif outcome is not Outcome.NOT_EXECUTED:
-            message.retries = 0
+            message.retries_left = 0
             if message.plans is None:
                 message.plans = self.plan(message)
-        message.tries += 1
-        rest = RETRY_CALLS * self.usual_call(message) * 2.0 ** (message.tries - 1)
-        message.not_before = self.now + min(rest, REST_TOP_MS) if outcome is not Outcome.FULL else self.now
+        message.retry_count += 1
+        backoff_ms = RETRY_BACKOFF_CALLS * self.expected_call_ms(message) * 2.0 ** (message.retry_count - 1)
+        message.not_before = (
+            self.now + min(backoff_ms, MAX_BACKOFF_MS) if outcome is not Outcome.FULL else self.now
+        )
         self.hold(message)
 
-    def may_resend(self, message: Message) -> bool:
-        if len(message.attempts) >= message.most or self.now >= self.latest_start(message):
+    def may_retry(self, message: Message) -> bool:
+        if len(message.attempts) >= message.max_attempts or self.now >= self.latest_start(message):
             return False
         return message.ran_at == math.inf or message.cls.effect is not Effect.UNSAFE
 
-    def allowed(self, message: Message, endpoint: Endpoint) -> bool:
-        """The rules on drains and on repeats."""
+    def is_permitted(self, message: Message, endpoint: Endpoint) -> bool:
+        """Draining endpoints get nothing new; a keyed repeat stays in the group that recognises its key."""
         keyed = message.cls.effect is Effect.KEYED and message.cls.group is not api.Group.ALL
         bound = keyed and message.ran_at < math.inf
         return endpoint.ready and (not bound or endpoint.zone == message.ran_zone)
 
     def rank(self, endpoint: Endpoint) -> float:
-        """The score, less what tells near equals apart: calls already out, the fee, a new connection."""
+        """The score minus penalties for calls in flight, fee, a new connection, and the planner's penalty."""
         fees = self.settings.zone_fees
         fee = fees[endpoint.zone] if fees and self.settings.kinds[endpoint.kind].apart else 0.0
         return (
             endpoint.score_at(self.now)
-            - LOAD_DISCOUNT * len(endpoint.calls)
-            - FEE_DISCOUNT * fee
-            - (0.0 if endpoint.idle else COLD_CONN_DISCOUNT)
+            - LOAD_PENALTY * len(endpoint.calls)
+            - FEE_PENALTY * fee
+            - (0.0 if endpoint.idle else NEW_CONNECTION_PENALTY)
             - (endpoint.lane.score_penalty if self.now < endpoint.lane.allowed_until else 0.0)
         )
 
@@ -944,31 +991,33 @@
         return sorted(endpoints, key=self.rank, reverse=True)
 
     def plan(self, message: Message) -> list[list[Endpoint]]:
-        """Algorithm 1 over the endpoints after the first; what is left at the end makes a last plan."""
-        rest = self.ranked([e for e in message.destination.endpoints if e is not message.first and e.ready])
-        plans, members, missing, least = [], [], 1.0, 1
+        """Algorithm 1 over the endpoints other than the first; a remainder makes up the last plan."""
+        rest = self.ranked(
+            [e for e in message.destination.endpoints if e is not message.first_endpoint and e.ready]
+        )
+        plans, members, unavailability, min_members = [], [], 1.0, 1
         for endpoint in rest:
             members.append(endpoint)
-            missing *= 1.0 - endpoint.score_at(self.now)
-            if len(members) >= least and 1.0 - missing >= TARGET:
+            unavailability *= 1.0 - endpoint.score_at(self.now)
+            if len(members) >= min_members and 1.0 - unavailability >= TARGET_AVAILABILITY:
                 plans.append(members)
-                least, members, missing = len(members), [], 1.0
+                min_members, members, unavailability = len(members), [], 1.0
         return plans + [members] if members else plans
 
     def targets(self, message: Message) -> list[Endpoint]:
-        """Where the message goes next, or nothing while it must be held."""
+        """The endpoints to send to next; empty while the message must be held."""
         if message.plans is None:
-            if message.first is None or not self.allowed(message, message.first):
+            if message.first_endpoint is None or not self.is_permitted(message, message.first_endpoint):
                 usable = [e for e in message.destination.endpoints if self.usable(message, e)]
                 return self.ranked(usable)[:1]
-            if self.usable(message, message.first):
-                return [message.first]
+            if self.usable(message, message.first_endpoint):
+                return [message.first_endpoint]
             message.plans = self.plan(message)
         while message.plans:
             members = [e for e in message.plans[0] if self.usable(message, e)]
             if members:
-                return members if self.copies(message) else members[:1]
-            if any(self.allowed(message, e) and not e.tripped for e in message.plans[0]):
+                return members if self.sends_copies(message) else members[:1]
+            if any(self.is_permitted(message, e) and not e.tripped for e in message.plans[0]):
                 break
             message.plans.pop(0)
         if not message.plans:
@@ -976,71 +1025,75 @@
         usable = [e for e in message.destination.endpoints if self.usable(message, e)]
         return self.ranked(usable)[:1]
 
-    def copies(self, message: Message) -> bool:
+    def sends_copies(self, message: Message) -> bool:
         return self.settings.second_copies and message.cls.effect is Effect.SAFE and not message.key
 
     def usable(self, message: Message, endpoint: Endpoint) -> bool:
-        return self.allowed(message, endpoint) and self.open_at(message, endpoint) <= self.now
+        return self.is_permitted(message, endpoint) and self.available_at(message, endpoint) <= self.now
 
-    def open_at(self, message: Message, endpoint: Endpoint) -> float:
-        """When waits, pace, breaker and silence let a call go there; infinite if only an outcome tells."""
-        at = endpoint.lane.open_at(self.now)
+    def available_at(self, message: Message, endpoint: Endpoint) -> float:
+        """When waits, rate limit and breaker permit a call; infinite if that depends on an outcome."""
+        at = endpoint.lane.available_at(self.now)
         if endpoint.tripped:
-            at = max(at, self.hope_ends(endpoint))
-            unsafe = message.cls.effect is Effect.UNSAFE  # a trial may lose it: others go first
-            return max(at, endpoint.opens_at + (self.cold_gap(endpoint) if unsafe else 0.0))
+            at = max(at, self.calls_lost_at(endpoint))
+            unsafe = message.cls.effect is Effect.UNSAFE  # a trial may lose it, so others go first
+            return max(at, endpoint.next_call_at + (self.cold_gap_ms(endpoint) if unsafe else 0.0))
         if endpoint.warm < 1.0:
-            at = max(at, endpoint.opens_at)
-        if self.silent(endpoint) or self.doubted(endpoint.lane):
-            at = max(at, self.hope_ends(endpoint))
-        return math.inf if self.no_slot(endpoint) else at
-
-    def silent(self, endpoint: Endpoint) -> bool:
-        """Guards against filling slots with calls to what hangs: the oldest call is long overdue and nothing
-        has been answered since it went."""
+            at = max(at, endpoint.next_call_at)
+        if self.unresponsive(endpoint) or self.connects_unanswered(endpoint.lane):
+            at = max(at, self.calls_lost_at(endpoint))
+        return math.inf if self.slow_slots_full(endpoint) else at
+
+    def unresponsive(self, endpoint: Endpoint) -> bool:
+        """The oldest call is long overdue and nothing was answered since it was sent; further calls would
+        only fill slots."""
         call = next(iter(endpoint.calls.values()), None)
-        late = call is not None and self.now - call.sent_at > SILENT_CALL * call.expected_ms
+        late = call is not None and self.now - call.sent_at > UNRESPONSIVE_FACTOR * call.expected_ms
         return late and endpoint.answered_at < call.sent_at
 
-    def doubted(self, lane: Lane) -> bool:
-        """Guards against connects that wait for what is gone, and all end or arrive as it comes back: one was
-        given up and nothing answered since, so they go one at a time, of each dispatcher."""
-        return lane.answered_at < lane.unheard_at
+    def connects_unanswered(self, lane: Lane) -> bool:
+        """The latest connect timed out and nothing was answered since. Each dispatcher then connects one call
+        at a time, since pending connects would all succeed at once on recovery."""
+        return lane.answered_at < lane.connect_unanswered_at
 
-    def hope_ends(self, endpoint: Endpoint) -> float:
-        """When none of the calls out there may still be answered, and one more finds out: it guards against
-        an endpoint that is left alone while an unsafe call on a dead connection is out."""
+    def calls_lost_at(self, endpoint: Endpoint) -> float:
+        """When all calls in flight there count as lost and one more may be tried: otherwise an unsafe call on
+        a dead connection would keep the endpoint unused."""
         return max((call.lost_at for call in endpoint.calls.values()), default=-math.inf)
 
     # Sending
 
-    def cap(self, destination: Destination) -> int:
-        """The bulkhead: slots that one destination may hold."""
+    def slot_limit(self, destination: Destination) -> int:
+        """Bulkhead: the number of slots that one destination may hold."""
         ready = [e for e in destination.endpoints if e.ready]
-        sick = any(e in self.slow or e.score_at(self.now) < PRIOR for e in ready)
-        return max(int(self.settings.slots * (SICK_SHARE if sick else DEST_SHARE)), 1)
+        unhealthy = any(e in self.slow_endpoints or e.score_at(self.now) < PRIOR_SCORE for e in ready)
+        return max(
+            int(self.settings.slots * (UNHEALTHY_SLOT_SHARE if unhealthy else DESTINATION_SLOT_SHARE)), 1
+        )
 
     def is_slow(self, endpoint: Endpoint) -> bool:
-        """It has a slow call, or one of its destination's others has and it has not answered since."""
+        """It has a slow call, or another endpoint of its destination has and it has not answered since."""
         at = [call.sent_at for e in endpoint.destination.endpoints if (call := self.slow_call(e))]
         return bool(at) and (endpoint.answered_at < max(at) or self.slow_call(endpoint) is not None)
 
     def slow_call(self, endpoint: Endpoint) -> Call | None:
         oldest = next(iter(endpoint.calls.values()), None)
-        return oldest if oldest and self.now - oldest.sent_at > SLOW_CALL * oldest.expected_ms else None
+        return oldest if oldest and self.now - oldest.sent_at > SLOW_FACTOR * oldest.expected_ms else None
 
-    def no_slot(self, endpoint: Endpoint) -> bool:
-        """Slow endpoints share one part of the slots, with all destinations together. It guards against slots
-        that all wait for what is slow or hangs, and, as it goes by endpoint, against one that hangs while its
-        destination's others could take the messages. It hurts where one long call is taken for slowness."""
-        if endpoint not in self.slow:
+    def slow_slots_full(self, endpoint: Endpoint) -> bool:
+        """Slow endpoints of all destinations share part of the slots, so that slow or hung calls never take
+        all; counted by endpoint, so that healthy endpoints of the same destination stay usable. Drawback: one
+        long call counts as slowness."""
+        if endpoint not in self.slow_endpoints:
             return False
-        return sum(len(slow.calls) for slow in self.slow) >= int(self.settings.slots * SICK_SHARE)
+        return sum(len(slow.calls) for slow in self.slow_endpoints) >= int(
+            self.settings.slots * UNHEALTHY_SLOT_SHARE
+        )
 
     def urgency(self, message: Message) -> float:
-        """Worth that waiting loses: grows as the aim comes near, then follows the worth that is left."""
-        cls, call = message.cls, self.usual_call(message)
-        age = self.now + call - message.born
+        """Worth lost by waiting: grows as the aim approaches, then follows the remaining worth."""
+        cls, call = message.cls, self.expected_call_ms(message)
+        age = self.now + call - message.accepted_at
         late = age - cls.aim_ms
         worth, slack = message.worth, 0.0
         if late <= 0:
@@ -1051,168 +1104,170 @@
                 worth, slack = cls.late_worth * message.worth, message.deadline - self.now - call
         else:
             worth *= 1.0 - cls.late_worth
-        patience = PATIENCE * cls.aim_ms
+        scale_ms = URGENCY_SCALE_AIMS * cls.aim_ms
         if message.destination.backlog > cls.aim_ms:
-            patience = max(patience, CROWD_PATIENCE * (message.destination.backlog - cls.aim_ms))
-        return worth / cls.aim_ms * math.exp(-slack / patience)
+            scale_ms = max(scale_ms, OVERLOAD_URGENCY_SCALE * (message.destination.backlog - cls.aim_ms))
+        return worth / cls.aim_ms * math.exp(-slack / scale_ms)
 
     def ready(self, message: Message) -> bool:
-        if message.not_before > self.now or self.held_back(message):
+        if message.not_before > self.now or self.blocked_by_shutdown(message):
             return False
         if not message.key:
             return True
-        turn = self.turns[message.key]
-        return turn.line[0] is message and (turn.rests_until <= self.now or bool(message.attempts))
+        queue = self.key_queues[message.key]
+        return queue.messages[0] is message and (queue.paused_until <= self.now or bool(message.attempts))
 
-    def held_back(self, message: Message) -> bool:
-        """Guards against an unsafe call that is out when the process ends: nobody would know what it did."""
-        if message.cls.effect is not Effect.UNSAFE or self.leaves_at == math.inf:
+    def blocked_by_shutdown(self, message: Message) -> bool:
+        """An unsafe call must end before this process does, since otherwise its outcome would be unknown."""
+        if message.cls.effect is not Effect.UNSAFE or self.shutdown_at == math.inf:
             return False
-        return self.now + LEAVE_CALLS * self.usual_call(message) > self.leaves_at
+        return self.now + SHUTDOWN_MARGIN_CALLS * self.expected_call_ms(message) > self.shutdown_at
 
-    def waiting(self, destination: Destination) -> Collection[Message]:
-        """Who may go, the most urgent first. Within a moment that changes by who has gone and the backlog
-        alone. It guards against a full house: to weigh all that are held anew for each call took a second
-        for some thousands."""
-        backlog, line = self.lines.get(destination, (None, {}))
+    def by_urgency(self, destination: Destination) -> Collection[Message]:
+        """Sendable messages, most urgent first, cached within a batch: only sends and the backlog change
+        them. Sorting all anew for each call took a second with some thousands held."""
+        backlog, ordered = self.urgency_order.get(destination, (None, {}))
         if backlog != destination.backlog:
             held = [m for m in destination.held.values() if self.ready(m)]
-            line = {m.id: m for m in sorted(held, key=self.urgency, reverse=True)}
-            self.lines[destination] = destination.backlog, line
-        return line.values()
+            ordered = {m.id: m for m in sorted(held, key=self.urgency, reverse=True)}
+            self.urgency_order[destination] = destination.backlog, ordered
+        return ordered.values()
 
-    def best_held(self, destination: Destination) -> tuple[float, Message, list[Endpoint]] | None:
-        if not destination.held or len(destination.calls) >= self.cap(destination):
+    def next_send(self, destination: Destination) -> tuple[float, Message, list[Endpoint]] | None:
+        if not destination.held or len(destination.calls) >= self.slot_limit(destination):
             return None
-        if not any(e.lane.open_at(self.now) <= self.now for e in destination.endpoints):
+        if not any(e.lane.available_at(self.now) <= self.now for e in destination.endpoints):
             return None
-        destination.note_backlog(self.now, self.settings.kinds)
-        waiting = self.waiting(destination)
+        destination.update_backlog(self.now, self.settings.kinds)
+        waiting = self.by_urgency(destination)
         for message in waiting:
             targets = self.targets(message)
             if targets:
-                return self.gain(message, targets, len(waiting)), message, targets
+                return self.priority(message, targets, len(waiting)), message, targets
         return None
 
-    def gain(self, message: Message, targets: list[Endpoint], waiting: int) -> float:
-        """What a call saves for the time that it holds its slot: urgency, of all that it takes along. It
-        guards against slots that are full of calls to what is slow; there messages wait longer."""
+    def priority(self, message: Message, targets: list[Endpoint], waiting: int) -> float:
+        """Urgency of all messages in the call per ms that it holds its slot, so that calls to slow
+        destinations do not fill the slots; messages wait longer there."""
         batch = 1 if targets[0].tripped or len(targets) > 1 else self.settings.kinds[targets[0].kind].batch
-        lasts = self.expected_ms[message.cls.name] * max(message.destination.stretch, LEAST_STRETCH)
-        return self.urgency(message) * min(batch, waiting) / lasts
+        duration_ms = self.expected_ms[message.cls.name] * max(
+            message.destination.latency_factor, MIN_LATENCY_FACTOR
+        )
+        return self.urgency(message) * min(batch, waiting) / duration_ms
 
     def dispatch(self) -> None:
-        """Send the most urgent messages while slots last."""
+        """Sends the messages of highest priority while slots last."""
         choices = {}
-        self.lines.clear()
+        self.urgency_order.clear()
         if self.slots_in_use < self.settings.slots:
-            self.slow = {endpoint for endpoint in self.endpoints.values() if self.is_slow(endpoint)}
-            bests = ((number, self.best_held(held)) for number, held in self.destinations.items())
+            self.slow_endpoints = {endpoint for endpoint in self.endpoints.values() if self.is_slow(endpoint)}
+            bests = ((number, self.next_send(held)) for number, held in self.destinations.items())
             choices = {number: best for number, best in bests if best}
         while choices and self.slots_in_use < self.settings.slots:
             number = max(choices, key=lambda n: choices[n][0])
             _, message, targets = choices.pop(number)
             self.send(message, targets)
-            if best := self.best_held(message.destination):
+            if best := self.next_send(message.destination):
                 choices[number] = best
 
-    def abandon(self) -> None:
-        """Guards against slots that are held by calls on connections that have fallen silent, for as long as
-        an unsafe call is waited for, while messages wait. That later calls to the endpoint were delivered
-        tells a dead connection from a slow endpoint. It hurts where an answer was still to come: an unsafe
-        message is failed then."""
+    def cancel_lost_calls(self) -> None:
+        """While messages wait, cancels calls on dead connections, which could hold a slot for the long
+        time-out of unsafe calls. Delivered later calls tell a dead connection from a slow endpoint. Drawback:
+        where an answer was still to come, an unsafe message is failed."""
         if not any(destination.held for destination in self.destinations.values()):
             return
         for endpoint in self.endpoints.values():
             for call in endpoint.calls.values():
-                if call.overtaken >= OVERTAKEN and call.lost_at < self.now and not call.abandoned:
+                if call.overtaken >= OVERTAKEN_CALLS and call.lost_at < self.now and not call.abandoned:
                     call.abandoned = True
-                    self.actions += [api.Cancel(m.id, n) for m, n in call.riders if m.attempts[n] is call]
+                    self.actions += [api.Cancel(m.id, n) for m, n in call.attempts if m.attempts[n] is call]
 
     def send(self, message: Message, targets: list[Endpoint]) -> None:
         destination = message.destination
-        room = min(self.settings.slots - self.slots_in_use, self.cap(destination) - len(destination.calls))
-        room = min(room, message.most - len(message.attempts))
+        room = min(
+            self.settings.slots - self.slots_in_use, self.slot_limit(destination) - len(destination.calls)
+        )
+        room = min(room, message.max_attempts - len(message.attempts))
         targets = targets[: max(room, 1)]
-        if message.first is None:
-            message.first = targets[0]
+        if message.first_endpoint is None:
+            message.first_endpoint = targets[0]
         if message.plans:
             plan = [e for e in message.plans[0] if e not in targets]
-            message.plans = ([plan] if plan and not self.copies(message) else []) + message.plans[1:]
+            message.plans = ([plan] if plan and not self.sends_copies(message) else []) + message.plans[1:]
         for endpoint in targets:
-            call = self.call(message, endpoint)
-            self.attempt(message, call)
+            call = self.start_call(message, endpoint)
+            self.start_attempt(message, call)
             if endpoint is targets[0] and len(targets) == 1:
-                self.fill(call)
+                self.fill_batch(call)
 
-    def call(self, message: Message, endpoint: Endpoint) -> Call:
+    def start_call(self, message: Message, endpoint: Endpoint) -> Call:
         self.calls_made += 1
-        destination, expected_ms = message.destination, self.usual_call(message)
+        destination, expected_ms = message.destination, self.expected_call_ms(message)
         call = Call(self.calls_made, endpoint, message, self.now, expected_ms)
         self.slots_in_use += 1
         destination.calls[call.number] = endpoint.calls[call.number] = call
-        guided = self.now < endpoint.lane.allowed_until  # dispatchers with like shares must not act in step
+        guided = self.now < endpoint.lane.allowed_until  # dispatchers with equal shares must not act in step
         endpoint.lane.note_sent(self.now, self.random.uniform(*JITTER) if guided else 1.0)
         if endpoint.warm < 1.0 and not endpoint.tripped:
-            endpoint.opens_at = max(endpoint.opens_at, self.now) + self.cold_gap(endpoint)
+            endpoint.next_call_at = max(endpoint.next_call_at, self.now) + self.cold_gap_ms(endpoint)
         return call
 
-    def attempt(self, message: Message, call: Call) -> None:
+    def start_attempt(self, message: Message, call: Call) -> None:
         message.destination.release(message)
-        if (line := self.lines.get(message.destination)) is not None:
-            line[1].pop(message.id, None)
+        if (cached := self.urgency_order.get(message.destination)) is not None:
+            cached[1].pop(message.id, None)
         message.attempts.append(call)
-        call.carry(message, len(message.attempts) - 1)
-        aims = TIMEOUT_AIMS[message.cls.effect]
-        if call.idle_ms and self.keep_ms() < self.settings.conn_idle_ms:  # it may have been dropped unseen
-            aims *= DOUBTED_SHARE
-        patience = max(TIMEOUT_CALLS * call.expected_ms, aims * message.cls.aim_ms)
-        stop_at = min(self.now + patience, message.deadline)
-        doubted = call.endpoint.tripped or self.doubted(call.endpoint.lane)
-        if doubted and not call.endpoint.came_up:  # what waits through an outage would come in as it ends
-            call.start_by = self.now + SILENCE_MS
+        call.add(message, len(message.attempts) - 1)
+        aims = MIN_TIMEOUT_AIMS[message.cls.effect]
+        if call.idle_ms and self.idle_limit_ms() < self.settings.conn_idle_ms:  # maybe dropped silently
+            aims *= STALE_CONNECTION_TIMEOUT_SHARE
+        timeout_ms = max(TIMEOUT_EXPECTED_CALLS * call.expected_ms, aims * message.cls.aim_ms)
+        timeout_at = min(self.now + timeout_ms, message.deadline)
+        limit_start = call.endpoint.tripped or self.connects_unanswered(call.endpoint.lane)
+        if limit_start and not call.endpoint.connected_late:  # waiting connects would all arrive on recovery
+            call.start_by = self.now + UNANSWERED_CONNECT_MS
         start_by = min(message.window_ends, call.start_by)
-        self.actions.append(api.Send(message.id, call.endpoint.name, stop_at, start_by))
+        self.actions.append(api.Send(message.id, call.endpoint.name, timeout_at, start_by))
 
-    def fill(self, call: Call) -> None:
-        """Messages of one round to one endpoint share the call where the kind takes several."""
+    def fill_batch(self, call: Call) -> None:
+        """Adds further messages to the call where the destination kind takes batches."""
         room = self.settings.kinds[call.endpoint.kind].batch - 1
         if room <= 0 or call.endpoint.tripped:
             return
-        riders = [m for m in self.waiting(call.destination) if self.allowed(m, call.endpoint)]
-        for message in riders[:room]:
-            if message.first is None:
-                message.first = call.endpoint
-            self.attempt(message, call)
+        companions = [m for m in self.by_urgency(call.destination) if self.is_permitted(m, call.endpoint)]
+        for message in companions[:room]:
+            if message.first_endpoint is None:
+                message.first_endpoint = call.endpoint
+            self.start_attempt(message, call)
 
     def held_by_destination(self) -> dict[int, tuple[int, float]]:
-        """Messages that are held and their worth, by destination: what a planner asks for."""
+        """Number and total worth of held messages by destination, for planners."""
         return {
             number: (len(destination.held), sum(message.worth for message in destination.held.values()))
             for number, destination in self.destinations.items()
             if destination.held
         }
 
-    # The next wake-up
+    # Timer
 
-    def set_alarm(self) -> None:
-        """Keep one reminder ahead: the earliest moment at which something held could change."""
-        at = min(self.ask_at, self.ends[0][0] if self.ends else math.inf)
+    def set_timer(self) -> None:
+        """Keeps one timer set, for the earliest time at which a held message's state could change."""
+        at = min(self.list_request_at, self.expiries[0][0] if self.expiries else math.inf)
         if self.slots_in_use < self.settings.slots:
             for destination in self.destinations.values():
                 if destination.held:
-                    at = min(at, self.next_chance(destination))
+                    at = min(at, self.next_opportunity(destination))
         at = max(at, self.now + self.settings.tick_ms)
-        if at < self.wakes_at:
-            self.wakes_at = at
+        if at < self.timer_at:
+            self.timer_at = at
             self.actions.append(api.SetTimer(at - self.now))
 
-    def next_chance(self, destination: Destination) -> float:
+    def next_opportunity(self, destination: Destination) -> float:
         message = next(iter(destination.held.values()))
         ready = [e for e in destination.endpoints if e.ready]
-        opens = min((self.open_at(message, e) for e in ready), default=math.inf)
-        rests = math.inf
+        available_at = min((self.available_at(message, e) for e in ready), default=math.inf)
+        earliest = math.inf
         for held in destination.held.values():
-            rest = max(held.not_before, self.turns[held.key].rests_until if held.key else -math.inf)
-            rests = min(rests, rest if rest > self.now else math.inf)
-        return rests if opens <= self.now else min(opens, rests)
+            ready_at = max(held.not_before, self.key_queues[held.key].paused_until if held.key else -math.inf)
+            earliest = min(earliest, ready_at if ready_at > self.now else math.inf)
+        return earliest if available_at <= self.now else min(available_at, earliest)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -74,7 +74,7 @@
     harness = DispatcherHarness(*entries, dispatchers=30)
     harness.feed(*(ColdStateRestored(entry.endpoint, pace) for entry in entries))
     per_s = sum(
-        1000.0 / harness.dispatcher.cold_gap(harness.dispatcher.endpoints[e.endpoint]) for e in entries
+        1000.0 / harness.dispatcher.cold_gap_ms(harness.dispatcher.endpoints[e.endpoint]) for e in entries
     )
     assert per_s == pytest.approx(0.75 * max(0.9 * 2.0 * 0.2 * pace, 2.0 / 30.0))
 
@@ -88,12 +88,12 @@
         harness.pass_ms(5.0, timeouts=False)
         if harness.out:
             harness.end(next(iter(harness.out))[0], Outcome.CONNECT_FAILED)
-    opens = [harness.dispatcher.endpoints[name].opens_at - harness.now for name in ("e1", "e2")]
+    opens = [harness.dispatcher.endpoints[name].next_call_at - harness.now for name in ("e1", "e2")]
     assert min(opens) > 1_000.0, "each at a moment within its gap of forty seconds"
 
 
 def given_up(harness, message, took_ms=1_500.0):
-    """A connect that nobody answered, or, within `SILENCE_MS`, that was refused."""
+    """A connect that nobody answered, or, within `UNANSWERED_CONNECT_MS`, that was refused."""
     harness.arrive(message)
     harness.pass_ms(took_ms, timeouts=False)
     harness.end(message, Outcome.CONNECT_FAILED)
@@ -221,9 +221,13 @@
     told = learned.export(old.dispatcher)
     new.feed(LearnedStateRestored(told, ahead_ms=5_000.0))
     lane = new.dispatcher.lanes[1]
-    assert lane.unheard_at == old.dispatcher.lanes[1].unheard_at + 5_000.0 > lane.answered_at
+    assert (
+        lane.connect_unanswered_at
+        == old.dispatcher.lanes[1].connect_unanswered_at + 5_000.0
+        > lane.answered_at
+    )
     assert lane.strikes == old.dispatcher.lanes[1].strikes == 2.0
-    assert new.dispatcher.doubted(lane)
+    assert new.dispatcher.connects_unanswered(lane)
 
 
 def test_what_an_earlier_version_tells_is_taken_up_without_what_it_did_not_know():
@@ -232,4 +236,6 @@
     told = learned.export(old.dispatcher)
     told["lanes"] = [(key, values[:7], *flows) for key, values, *flows in told["lanes"]]
     new.feed(LearnedStateRestored(told))
-    assert new.dispatcher.endpoints["e1"].tripped and not new.dispatcher.doubted(new.dispatcher.lanes[1])
+    assert new.dispatcher.endpoints["e1"].tripped and not new.dispatcher.connects_unanswered(
+        new.dispatcher.lanes[1]
+    )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -42,7 +42,7 @@
     fleet.traffic(1, 50.0 * size, 0.0, 20_000.0)
     fleet.run(20_000.0)
     lanes = [lane for dispatcher in fleet.dispatchers.values() for lane in dispatcher.lanes.values()]
-    cut = [lane.pace_at(60_000.0) for lane in lanes if lane.fulls or lane.cut_at]
+    cut = [lane.pace_at(60_000.0) for lane in lanes if lane.refusals or lane.cut_at]
     assert cut and least < sum(cut) / len(cut) * size < most, cut
 
 
@@ -193,6 +193,6 @@
 def test_a_route_that_goes_leaves_its_part_of_the_calls_to_the_others():
     fleet = Fleet(40, [Target(name, 1, limit=20.0, kind=1) for name in "abc"], 1)
     dispatcher = fleet.dispatchers[0]
-    before = dispatcher.lanes["a"].enough
+    before = dispatcher.lanes["a"].useful_rate
     fleet.feed(0, EndpointListReceived(ListKind.DELTA, 2, (Entry("c", 1, kind=1, state=State.GONE),)))
-    assert dispatcher.lanes["a"].enough == pytest.approx(1.5 * before)
+    assert dispatcher.lanes["a"].useful_rate == pytest.approx(1.5 * before)
--- a/tests/test_full_house.py
+++ b/tests/test_full_house.py
@@ -17,7 +17,7 @@
 class Anew(Dispatcher):
     """Weighs all that are held for each call."""
 
-    def waiting(self, destination):
+    def by_urgency(self, destination):
         held = [message for message in destination.held.values() if self.ready(message)]
         return sorted(held, key=self.urgency, reverse=True)
 
@@ -60,14 +60,14 @@
 
 def test_a_house_full_of_what_a_restart_found_sheds_none_and_goes_through_none(monkeypatch):
     # Guards against a start that looks at all that are held for each message beyond nine in ten of the house.
-    looks, owed = 0, Message.owed
+    looks, owed = 0, Message.inherited_untried
 
     def counted(self):
         nonlocal looks
         looks += 1
         return owed.fget(self)
 
-    monkeypatch.setattr(Message, "owed", property(counted))
+    monkeypatch.setattr(Message, "inherited_untried", property(counted))
     harness = DispatcherHarness(Entry("one", 1), slots=1, max_held=HELD)
     told = harness.feed(*(replace(harness.arrival(n, SAFE, 1), untried=True) for n in range(HELD)))
     assert not any(isinstance(action, Refuse) for action in told)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -247,7 +247,7 @@
     harness.arrive(4, destination=2)
     harness.end(4, Outcome.OK)
     harness.end(3, Outcome.TIMEOUT)
-    assert harness.dispatcher.keep_ms() == harness.settings.conn_idle_ms
+    assert harness.dispatcher.idle_limit_ms() == harness.settings.conn_idle_ms
     assert harness.dispatcher.endpoints["one"].strikes == 2, "the endpoint is at fault"
 
 
@@ -255,7 +255,7 @@
     harness = DispatcherHarness(ONE)
     harness.arrive(1)
     harness.end(1, Outcome.CONNECT_FAILED)
-    assert harness.dispatcher.keep_ms() <= harness.settings.conn_idle_ms / 2
+    assert harness.dispatcher.idle_limit_ms() <= harness.settings.conn_idle_ms / 2
 
 
 def test_a_payment_on_an_idled_connection_does_not_hold_its_slot_for_long_while_drops_are_known():
@@ -277,10 +277,10 @@
     harness.answer_all(2000, 50, Outcome.CONNECT_FAILED)
     endpoint = harness.dispatcher.endpoints["one"]
     assert endpoint.tripped
-    harness.dispatcher.recovered(endpoint)
+    harness.dispatcher.close_breaker(endpoint)
     harness.arrive(9)
     harness.pass_ms(200, timeouts=False)
-    assert not harness.sends() and endpoint.opens_at > harness.now
+    assert not harness.sends() and endpoint.next_call_at > harness.now
 
 
 def many(harness, destination, numbers):
@@ -342,7 +342,7 @@
         for message, attempt in list(harness.out):
             harness.end(message, Outcome.OK, attempt)
     assert not harness.dispatcher.endpoints["one"].cold
-    assert harness.dispatcher.keep_ms() == harness.settings.conn_idle_ms
+    assert harness.dispatcher.idle_limit_ms() == harness.settings.conn_idle_ms
 
 
 def test_failed_connects_do_not_cut_the_keeping_of_connections_to_nothing():
@@ -350,4 +350,4 @@
     for number in range(1, 9):
         harness.arrive(number, destination=number)
         harness.end(number, Outcome.CONNECT_FAILED)
-    assert harness.dispatcher.keep_ms() >= 0.2 * harness.settings.conn_idle_ms
+    assert harness.dispatcher.idle_limit_ms() >= 0.2 * harness.settings.conn_idle_ms
