--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -1,7 +1,7 @@
 """What goes into and comes out of `crowpier.logic.Dispatcher`: settings, events, actions.
 
-Times are milliseconds. Classes, kinds, zones and tenants are positions in the tuples of `Settings`; endpoints
-are strings of the caller's choosing and messages are numbers, never used twice.
+Times are milliseconds. Classes, kinds, zones and tenants are indexes into the tuples of `Settings`; endpoint
+ids are strings chosen by the caller, message ids are numbers that must never be reused.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Effect(enum.Enum):
-    """What a second execution of a message would do."""
+    """What a repeat of a message does: SAFE nothing, KEYED nothing within its group and window."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -22,14 +22,14 @@
 
 
 class Group(enum.Enum):
-    """Which endpoints of a destination drop the repeat of a keyed message."""
+    """Which endpoints of a destination recognise the repeat of a keyed message."""
 
     ALL = "all"
     ZONE = "zone"
 
 
 class State(enum.IntEnum):
-    """What the list says of an endpoint; it says nothing of health."""
+    """State of an endpoint in the directory's list, independent of its health."""
 
     GONE = 0
     READY = 1
@@ -37,7 +37,7 @@
 
 
 class ListKind(enum.Enum):
-    """`CACHED` and `FULL` replace the list, `DELTA` changes it, `FAILED` answers a request in vain."""
+    """`CACHED` and `FULL` replace the list, `DELTA` changes it, `FAILED` tells of a failed request."""
 
     FULL = "full"
     CACHED = "cached"
@@ -59,7 +59,7 @@
 
     @property
     def never_ran(self) -> bool:
-        """True where the outcome proves that the message did not run."""
+        """True where the outcome proves that the message was not executed."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_EXECUTED)
 
 
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """A class of messages; `worth` is earned in full within `aim_ms` and falls to `late_worth` of it."""
+    """A class of messages: `worth` is earned in full within `aim_ms` and falls to the share `late_worth`."""
 
     name: str
     aim_ms: float
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of destination: are its endpoints routes apart, and how many messages fit one call."""
+    """A kind of destination: whether its endpoints are separate routes, and the messages per call."""
 
     name: str
     apart: bool = False
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """Whom messages come from; beyond `allowance_per_s` (all dispatchers together) they are worth little."""
+    """A sender; its messages beyond `allowance_per_s` (of all dispatchers together) lose worth."""
 
     name: str
     share: float = 1.0
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a dispatcher is told at its start."""
+    """Settings of a dispatcher. A `ValueError` names the first field that is out of range."""
 
     classes: tuple[MessageClass, ...]
     kinds: tuple[Kind, ...]
@@ -149,12 +149,12 @@
 
     def __post_init__(self) -> None:
         if not self.classes or not self.kinds or not self.zones:
-            raise ValueError("settings: classes, kinds and zones must each name at least one")
+            raise ValueError("settings: classes, kinds and zones must not be empty")
         names = [cls.name for cls in self.classes]
         if twice := {name for name in names if names.count(name) > 1}:
-            raise ValueError(f"settings: class {min(twice)} is there twice: give each a name of its own")
+            raise ValueError(f"settings: class {min(twice)} is defined twice: class names must be unique")
         if self.zone_fees and len(self.zone_fees) != len(self.zones):
-            raise ValueError("settings: zone_fees must have one figure for each of zones, or none")
+            raise ValueError("settings: zone_fees must have one fee for each zone, or none")
         for key in ("slots", "max_held", "dispatchers", "max_attempts"):
             _check(getattr(self, key), key, 1)
         for key in (
@@ -180,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One line of the list; `rate_per_s` is what the destination (or route apart) is said to take."""
+    """An endpoint in the list; `rate_per_s` is the advertised limit of its destination or separate route."""
 
     endpoint: str
     destination: int
@@ -192,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListReceived:
-    """News of the list of endpoints."""
+    """The list of endpoints, or a change of it, from the directory."""
 
     kind: ListKind
     version: int = 0
@@ -201,7 +201,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What a message was taken under."""
+    """The settings that held when a message was accepted."""
 
     cls: MessageClass
     max_attempts: int
@@ -209,7 +209,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptInProgress:
-    """An attempt that an earlier process carries to its end. Those of one `call` share a slot."""
+    """An attempt that an earlier process is finishing. Attempts of one `call` share a slot."""
 
     attempt: int
     endpoint: str
@@ -219,12 +219,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageAccepted:
-    """A message was taken; it must end exactly once, within `left_ms`.
+    """A message was accepted; it must end exactly once, within `left_ms`.
 
-    One that an earlier process took comes with the `attempts` it has had, all of which are over. If one may
-    have run, `ran_ago_ms` and `ran_endpoint` tell when and where the first such went. `terms` are there where
-    it was taken under others than the settings' of now: they hold for it to its end. `out` has those of its
-    attempts that are still out, in the care of the earlier process: their outcomes come as of any other.
+    A message from an earlier process has the number of its `attempts` so far. If one of those that ended may
+    have been executed, `ran_ago_ms` and `ran_endpoint` say when and where the first such was sent. `terms`
+    are set where the settings at its acceptance differ from now; they hold to its end. `out` are its attempts
+    that the earlier process is still finishing; their outcomes arrive like any other.
     """
 
     message: int
@@ -237,14 +237,14 @@
     attempts: int = 0
     ran_ago_ms: float | None = None
     ran_endpoint: str = ""
-    untried: bool = False  # an earlier process took it on and made no attempt: it is owed one
+    untried: bool = False  # accepted by an earlier process that made no attempt: one must still be made
     terms: Terms | None = None
     out: tuple[AttemptInProgress, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class ColdStateRestored:
-    """At the start: an earlier process gave `RecordColdState` for the endpoint, and nothing has taken it back."""
+    """At the start: the latest `RecordColdState` of an earlier process said that the endpoint is cold."""
 
     endpoint: str
     pace_per_s: float
@@ -252,30 +252,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Detached:
-    """Operators take the endpoint out: nothing new goes there until `Attached`, whatever the list says, also
-    where it is not listed now."""
+    """Operators took the endpoint out: nothing new is sent there until `Attached`, whatever the list says and
+    even if it is not listed."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class Attached:
-    """The endpoint may serve again. It was restarted meanwhile: it is cold, by no fault of its own."""
+    """The endpoint may serve again. It was restarted, hence is cold, which does not lower its score."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class Reconfigured:
-    """Other settings hold for what arrives from now on. Messages keep the class and the number of attempts
-    that they were taken under; what was learned of endpoints stays."""
+    """New settings for messages accepted from now on. Earlier messages keep their class and number of
+    attempts; what was learned about endpoints stays."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class LearnedStateRestored:
-    """What an earlier process had learned (`crowpier.learned.export`); our clock is `ahead_ms` of its."""
+    """The export of an earlier process (`crowpier.learned.export`); our clock is `ahead_ms` ahead of its."""
 
     told: Mapping[str, Any]
     ahead_ms: float = 0.0
@@ -283,17 +283,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownScheduled:
-    """The process will end `in_ms` from now: what is out by then has no known outcome."""
+    """The process will end in `in_ms`; calls in flight by then have no known outcome."""
 
     in_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has its outcome; `finished` tells that the message is over and owes no answer.
+    """An attempt ended; `finished` says that the message is done and needs no answer.
 
-    Where the caller knows it, `idled_ms` tells how long the call's connection had stood idle before (0: it
-    was new, or never came up) and `kept` whether it is idle again.
+    Where known, `idled_ms` is how long the call's connection had been idle before (0: it was new, or was
+    never established) and `kept` whether it is idle again. `wait_ms` is the retry-after of a refusal.
     """
 
     message: int
@@ -309,14 +309,14 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleConnectionClosed:
-    """An idle connection to the endpoint has ended, and no `CloseIdleConnections` asked for it."""
+    """An idle connection to the endpoint ended without a `CloseIdleConnections`."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """A probe has its result."""
+    """A probe ended."""
 
     endpoint: str
     outcome: Outcome
@@ -325,25 +325,25 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A reminder fell due."""
+    """The timer of a `SetTimer` fired."""
 
     token: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """Nobody wants this message any more; no answer is owed."""
+    """The client no longer wants this message; it needs no answer."""
 
     message: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendAllowance:
-    """Guidance from outside: what this dispatcher may send on a lane for `for_ms`. The lane is a destination,
-    or an endpoint where its routes are apart. The lower holds of this and what is learned here. `wait_ms` is
-    of a wait that another dispatcher was told; `score_penalty` lowers the score of the lane's endpoints. For
-    `slots_ms`, calls go at the moments `slots` (milliseconds from now), of which the first has the number
-    `slot`: one that was told before counts once.
+    """A planner's allowance for `for_ms`: at most `per_s` calls a second on a lane, with `burst` at once. The
+    lane is a destination, or an endpoint where routes are separate. The lower of this and the learned limit
+    holds. `wait_ms` is a wait that another dispatcher was told; `score_penalty` lowers the score of the lane's
+    endpoints. For `slots_ms`, calls are sent at the times `slots` (ms from now), numbered from `slot`: a slot
+    that was announced before counts once.
     """
 
     lane: int | str
@@ -359,7 +359,7 @@
     def __post_init__(self) -> None:
         for key in ("per_s", "for_ms", "wait_ms", "score_penalty", "slots_ms", "slot"):
             if not getattr(self, key) >= 0:
-                raise ValueError(f"allowed: {key} must not be negative, nor {getattr(self, key)!r}")
+                raise ValueError(f"allowed: {key} must be 0 or more, not {getattr(self, key)!r}")
         if not self.burst >= 1:
             raise ValueError(f"allowed: burst must be 1 or more, not {self.burst!r}")
         if not all(math.isfinite(at) for at in self.slots):
@@ -389,8 +389,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Call the endpoint with the message; the n-th send of a message is its attempt n, counted from 0. From
-    `start_by_ms` on it must not begin any more: a call whose connection comes up later ends as `NOT_EXECUTED`."""
+    """Call the endpoint with the message; sends of a message number its attempts from 0. The attempt times
+    out at `timeout_at_ms`. A call that has not begun by `start_by_ms` must not begin any more, and ends as
+    `NOT_EXECUTED`, since its connection came up too late."""
 
     message: int
     endpoint: str
@@ -400,7 +401,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Abandon one attempt."""
+    """Cancel one attempt."""
 
     message: int
     attempt: int
@@ -408,14 +409,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer that promises nothing about the message's effect."""
+    """Final answer: failed, the message may have been executed."""
 
     message: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer that tells the client that trying again is harmless."""
+    """Final answer: not executed, so the client may safely submit it again, not before `retry_after_ms`."""
 
     message: int
     retry_after_ms: float = 0.0
@@ -437,7 +438,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Wake the dispatcher after a while, in a later batch."""
+    """Pass a `TimerFired` after `in_ms`, in a later batch."""
 
     in_ms: float
     token: int = 0
@@ -445,12 +446,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the list and its changes."""
+    """Ask the directory for the list and its changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordColdState:
-    """Keep beyond the process: the endpoint is `cold`, having taken such a pace before, or no longer is."""
+    """Persist whether the endpoint is `cold`, with the rate that it served before."""
 
     endpoint: str
     cold: bool
