--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -341,9 +341,9 @@
 class SendAllowance:
     """A planner's allowance for `for_ms`: at most `per_s` calls a second on a lane, with `burst` at once. The
     lane is a destination, or an endpoint where routes are separate. The lower of this and the learned limit
-    holds. `wait_ms` is a wait that another dispatcher was told; `score_penalty` lowers the score of the lane's
-    endpoints. For `slots_ms`, calls are sent at the times `slots` (ms from now), numbered from `slot`: a slot
-    that was announced before counts once.
+    holds. `wait_ms` is a wait that another dispatcher was told; `score_penalty` lowers the score of the
+    lane's endpoints. For `slots_ms`, calls are sent at the times `slots` (ms from now), numbered from `slot`:
+    a slot that was announced before counts once.
     """
 
     lane: int | str
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter's codec: frames as the wire's page prints them, and malformed input."""
+"""The adapter's codec: frames as the protocol page prints them, and malformed input."""
 
 import io
 import json
@@ -7,7 +7,7 @@
 
 from crowpier import benchlink
 
-TOLD = {
+OPTIONS = {
     "balancers": 1,
     "categories": [
         {
@@ -59,8 +59,8 @@
     return benchlink.CODE.pack(code) + shape.pack(*fields)
 
 
-def up(told=None) -> bytes:
-    text = json.dumps(TOLD if told is None else told).encode()
+def up(options=None) -> bytes:
+    text = json.dumps(OPTIONS if options is None else options).encode()
     return record(1050, benchlink.UP, 3, 9, len(text)) + text
 
 
@@ -94,20 +94,20 @@
 def test_tables_are_read_in_the_order_of_events():
     link = benchlink.Link()
     other = record(1060, benchlink.INVENTORY, 0, 0)
-    link.answer(frame(up(), inventory(), record(1070, benchlink.SYNC, 3, 0, 2, 1), other))
+    link.handle_frame(frame(up(), inventory(), record(1070, benchlink.SYNC, 3, 0, 2, 1), other))
     assert list(link.dispatchers[3].endpoints) == ["10.18.74.7:11203"]
-    assert link.tables[0] == ()
+    assert link.inventories[0] == ()
 
 
 def test_an_instance_that_stopped_does_nothing_more():
     link = benchlink.Link()
-    link.answer(frame(up()))
-    reply = link.answer(frame(record(1040, benchlink.REMINDER, 3, 0), record(1090, benchlink.STOP, 3)))
+    link.handle_frame(frame(up()))
+    reply = link.handle_frame(frame(record(1040, benchlink.REMINDER, 3, 0), record(1090, benchlink.STOP, 3)))
     assert reply == bytes.fromhex("0800000000000000") and not link.dispatchers
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "text"),
     [
         (b"\x10\x00", "bad frame length"),
         (b"\x30\x00\x00\x00" + bytes(12), "frame cut off"),
@@ -115,20 +115,20 @@
         (frame(benchlink.CODE.pack(1040) + b"\x00"), "record cut off"),
         (benchlink.HEADER.pack(20, 0, 0.0) + bytes(4), "left over"),
         (frame(record(1050, benchlink.UP, 3, 9, 1) + b"{"), "not readable as JSON"),
-        (frame(up({k: v for k, v in TOLD.items() if k != "kinds"})), "kinds is missing"),
-        (frame(up(TOLD | {"tenants": 3})), "instance 3"),
-        (frame(up(TOLD | {"balancers": 0})), "dispatchers must be a number"),
-        (frame(up(TOLD | {"quantumMs": "soon"})), "quantumMs has the nonsensical value"),
+        (frame(up({k: v for k, v in OPTIONS.items() if k != "kinds"})), "kinds is missing"),
+        (frame(up(OPTIONS | {"tenants": 3})), "instance 3"),
+        (frame(up(OPTIONS | {"balancers": 0})), "dispatchers must be a number"),
+        (frame(up(OPTIONS | {"quantumMs": "soon"})), "quantumMs has the wrong type: 'soon'"),
     ],
 )
-def test_bad_input_ends_in_one_plain_message(data, says, capsys):
+def test_bad_input_ends_in_one_plain_message(data, text, capsys):
     code, _ = run(data)
-    said = capsys.readouterr().err
-    assert code == 2 and says in said and said.count("\n") == 1
+    message = capsys.readouterr().err
+    assert code == 2 and text in message and message.count("\n") == 1
 
 
 def test_an_exception_in_the_decisions_becomes_the_fault_action():
     link = benchlink.Link()
-    link.answer(frame(up(), record(1040, benchlink.REMINDER, 3, 0), now=10.0))
-    reply = link.answer(frame(record(1040, benchlink.REMINDER, 3, 0), now=5.0))
+    link.handle_frame(frame(up(), record(1040, benchlink.REMINDER, 3, 0), now=10.0))
+    reply = link.handle_frame(frame(record(1040, benchlink.REMINDER, 3, 0), now=5.0))
     assert b"time runs backwards" in reply and reply[8:10] == benchlink.CODE.pack(1010)
