--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -7,7 +7,7 @@
 
 from crowpier import benchlink
 
-OPTIONS = {
+TOLD = {
     "balancers": 1,
     "categories": [
         {
@@ -60,7 +60,7 @@
 
 
 def up(options=None) -> bytes:
-    text = json.dumps(OPTIONS if options is None else options).encode()
+    text = json.dumps(TOLD if options is None else options).encode()
     return record(1050, benchlink.UP, 3, 9, len(text)) + text
 
 
@@ -115,10 +115,10 @@
         (frame(benchlink.CODE.pack(1040) + b"\x00"), "record cut off"),
         (benchlink.HEADER.pack(20, 0, 0.0) + bytes(4), "left over"),
         (frame(record(1050, benchlink.UP, 3, 9, 1) + b"{"), "not readable as JSON"),
-        (frame(up({k: v for k, v in OPTIONS.items() if k != "kinds"})), "kinds is missing"),
-        (frame(up(OPTIONS | {"tenants": 3})), "instance 3"),
-        (frame(up(OPTIONS | {"balancers": 0})), "dispatchers must be a number"),
-        (frame(up(OPTIONS | {"quantumMs": "soon"})), "quantumMs has the wrong type: 'soon'"),
+        (frame(up({k: v for k, v in TOLD.items() if k != "kinds"})), "kinds is missing"),
+        (frame(up(TOLD | {"tenants": 3})), "instance 3"),
+        (frame(up(TOLD | {"balancers": 0})), "dispatchers must be a number"),
+        (frame(up(TOLD | {"quantumMs": "soon"})), "quantumMs has the wrong type: 'soon'"),
     ],
 )
 def test_bad_input_ends_in_one_plain_message(data, text, capsys):
