--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -596,7 +596,7 @@
         self.add_classes((terms.cls,))
         destination = self.destinations[event.destination]
         message = Message(event, terms, destination, self.now)
-        if self.exceeds_allowance(event.tenant):
+        if self.over_share(event.tenant):
             message.worth *= self.settings.over_share_worth
         self.messages[event.message] = message
         if message.key:
@@ -636,7 +636,7 @@
         message.first_endpoint = message.first_endpoint or call.endpoint
         call.add(message, inherited.attempt)
 
-    def exceeds_allowance(self, tenant: int) -> bool:
+    def over_share(self, tenant: int) -> bool:
         """Messages past our share of the tenant's allowance lose worth: a flood must not harm others."""
         if tenant >= len(self.quotas) or self.settings.tenants[tenant].allowance_per_s <= 0:
             return False
