--- a/tests/dispatcher_harness.py
+++ b/tests/dispatcher_harness.py
@@ -1,4 +1,4 @@
-"""A dispatcher with its outside played by hand: takes actions, answers attempts, and checks the rules."""
+"""Test harness around one dispatcher: carries out actions, ends attempts, checks the delivery rules."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def settings(**changes) -> Settings:
-    told = {
+    values = {
         "classes": CLASSES,
         "kinds": (Kind("shared"), Kind("apart", apart=True), Kind("gathering", batch=20)),
         "zones": ("east", "west"),
@@ -50,11 +50,11 @@
         "answer_slack_ms": 20.0,
         "drain_grace_ms": 1000.0,
     }
-    return Settings(**(told | changes))
+    return Settings(**(values | changes))
 
 
 class DispatcherHarness:
-    """Feeds events, keeps what is out, and asserts from outside what must hold after every batch."""
+    """Feeds events, tracks attempts in flight and asserts the delivery rules after every batch."""
 
     def __init__(self, *entries: Entry, **changes) -> None:
         self.settings = settings(**changes)
@@ -64,13 +64,13 @@
         self.since: dict[int, float] = {}
         self.sent: dict[int, list[tuple[str, float, float]]] = {}
         self.out: dict[tuple[int, int], str] = {}
-        self.proof: dict[int, list[tuple[float, str]]] = {}
+        self.executions: dict[int, list[tuple[float, str]]] = {}
         self.answers: dict[int, str] = {}
         self.entries: dict[str, Entry] = {}
-        self.told_off: dict[str, float] = {}
-        self.waits: dict[object, float] = {}
-        self.rests: dict[int, float] = {}
-        self.alarms: list[float] = []
+        self.not_ready_since: dict[str, float] = {}
+        self.waits_until: dict[object, float] = {}
+        self.key_pauses: dict[int, float] = {}
+        self.timers: list[float] = []
         self.actions: list = []
         if entries:
             self.list(*entries)
@@ -86,13 +86,13 @@
     def list(self, *entries: Entry, kind: ListKind = ListKind.FULL) -> list:
         if kind is not ListKind.DELTA:
             for name in set(self.entries) - {e.endpoint for e in entries}:
-                self.told_off.setdefault(name, self.now)
+                self.not_ready_since.setdefault(name, self.now)
         for entry in entries:
             self.entries[entry.endpoint] = entry
             if entry.state is State.READY:
-                self.told_off.pop(entry.endpoint, None)
+                self.not_ready_since.pop(entry.endpoint, None)
             else:
-                self.told_off.setdefault(entry.endpoint, self.now)
+                self.not_ready_since.setdefault(entry.endpoint, self.now)
         return self.feed(EndpointListReceived(kind, 1, entries))
 
     def arrive(
@@ -120,16 +120,16 @@
         endpoint = self.out.pop((message, attempt))
         sent_at = self.sent[message][attempt][1]
         if not outcome.never_ran:
-            self.proof.setdefault(message, []).append((sent_at, endpoint))
+            self.executions.setdefault(message, []).append((sent_at, endpoint))
         over = message in self.answers
         if outcome is Outcome.OK and not over:
             self.answers[message] = "served"
         if outcome is Outcome.FULL and wait:
-            place = self.place(endpoint)
-            self.waits[place] = max(self.waits.get(place, 0.0), self.now + wait)
+            lane = self.lane_key(endpoint)
+            self.waits_until[lane] = max(self.waits_until.get(lane, 0.0), self.now + wait)
         key = self.taken[message].key
         if outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED) and key:
-            self.rests[key] = self.now + self.settings.order_settle_ms
+            self.key_pauses[key] = self.now + self.settings.order_settle_ms
         return AttemptEnded(
             message, attempt, endpoint, outcome, self.now - sent_at, over or outcome is Outcome.OK, wait
         )
@@ -139,17 +139,19 @@
         return self.feed(Withdrawn(message))
 
     def run_until(self, at: float, timeouts: bool = True) -> None:
-        """Let time pass as the service would: reminders fall due and attempts reach their time-outs."""
+        """Advances the clock as the service would: timers fire and attempts time out."""
         while True:
-            stops = [(self.sent[m][a][2], m, a) for m, a in self.out] if timeouts else []
-            due = min([*self.alarms, *(stop for stop, _, _ in stops)], default=at + 1)
+            pending = [(self.sent[m][a][2], m, a) for m, a in self.out] if timeouts else []
+            due = min([*self.timers, *(timeout_at for timeout_at, _, _ in pending)], default=at + 1)
             if due > at:
                 break
             self.now = max(self.now, due)
-            events = [TimerFired(0)] if any(alarm <= self.now for alarm in self.alarms) else []
-            self.alarms = [alarm for alarm in self.alarms if alarm > self.now]
+            events = [TimerFired(0)] if any(timer <= self.now for timer in self.timers) else []
+            self.timers = [timer for timer in self.timers if timer > self.now]
             events += [
-                self.outcome(m, Outcome.TIMEOUT, a) for stop, m, a in sorted(stops) if stop <= self.now
+                self.outcome(m, Outcome.TIMEOUT, a)
+                for timeout_at, m, a in sorted(pending)
+                if timeout_at <= self.now
             ]
             self.feed(*events)
         self.now = at
@@ -158,16 +160,16 @@
         self.run_until(self.now + span, timeouts)
 
     def answer_all(self, span: float, every: float, outcome: Outcome = Outcome.OK) -> None:
-        """For a while, all that is out is answered at each step."""
+        """Ends all attempts in flight every `every` ms, for `span` ms."""
         stop = self.now + span
         while self.now < stop:
             self.pass_ms(every, timeouts=False)
             for message, attempt in list(self.out):
                 self.end(message, outcome, attempt)
 
-    # views
+    # queries
 
-    def place(self, endpoint: str) -> object:
+    def lane_key(self, endpoint: str) -> object:
         entry = self.entries[endpoint]
         return endpoint if self.settings.kinds[entry.kind].apart else entry.destination
 
@@ -177,7 +179,7 @@
     def where(self, message: int) -> list[str]:
         return [endpoint for endpoint, _, _ in self.sent.get(message, [])]
 
-    # the rules, seen from outside
+    # delivery rules, checked from outside
 
     def check(self, action) -> None:
         if isinstance(action, Send):
@@ -191,7 +193,7 @@
             self.answers[action.message] = type(action).__name__.lower()
         elif isinstance(action, SetTimer):
             assert action.in_ms > 0
-            self.alarms.append(self.now + action.in_ms)
+            self.timers.append(self.now + action.in_ms)
         elif isinstance(action, Cancel):
             assert self.settings.may_cancel and action.attempt < len(self.sent[action.message])
         else:
@@ -199,44 +201,50 @@
             assert self.settings.may_probe or not isinstance(action, Probe)
 
     def may_have_run(self, message: int) -> bool:
-        return bool(self.proof.get(message)) or any(owner == message for owner, _ in self.out)
+        return bool(self.executions.get(message)) or any(owner == message for owner, _ in self.out)
 
     def check_send(self, send: Send) -> None:
-        told, entry = self.taken[send.message], self.entries[send.endpoint]
-        cls = self.settings.classes[told.cls]
+        accepted, entry = self.taken[send.message], self.entries[send.endpoint]
+        cls = self.settings.classes[accepted.cls]
         out = [number for owner, number in self.out if owner == send.message]
-        assert send.message not in self.answers, "sent after its end"
-        assert entry.destination == told.destination, "sent to another destination"
+        assert send.message not in self.answers, "sent after its final answer"
+        assert entry.destination == accepted.destination, "sent to another destination"
         assert self.settings.second_copies or not out, "two attempts at once"
         if cls.effect is Effect.UNSAFE:
-            assert not self.may_have_run(send.message), "an unsafe message went again"
-        if cls.effect is Effect.KEYED and self.proof.get(send.message):
-            ran_at, where = min(self.proof[send.message])
+            assert not self.may_have_run(send.message), "an unsafe message was sent again"
+        if cls.effect is Effect.KEYED and self.executions.get(send.message):
+            ran_at, where = min(self.executions[send.message])
             assert self.now <= ran_at + cls.window_ms, "outside the window"
             assert cls.group is Group.ALL or self.entries[where].zone == entry.zone, "outside the group"
-        if send.endpoint in self.told_off:
-            assert self.now <= self.told_off[send.endpoint] + self.settings.drain_grace_ms, "sent to a drain"
-        assert self.now >= self.waits.get(self.place(send.endpoint), 0.0), "sent before the wait was over"
-        if told.key and cls.in_order:
-            self.check_turn(send.message, told.key)
+        if send.endpoint in self.not_ready_since:
+            assert self.now <= self.not_ready_since[send.endpoint] + self.settings.drain_grace_ms, (
+                "sent to a draining endpoint"
+            )
+        assert self.now >= self.waits_until.get(self.lane_key(send.endpoint), 0.0), (
+            "sent before the wait was over"
+        )
+        if accepted.key and cls.in_order:
+            self.check_order(send.message, accepted.key)
         attempts = self.sent.setdefault(send.message, [])
         assert len(attempts) < self.settings.max_attempts, "more attempts than allowed"
         self.out[send.message, len(attempts)] = send.endpoint
         attempts.append((send.endpoint, self.now, send.timeout_at_ms))
         calls = {
-            (self.sent[m][a][0], self.sent[m][a][1]) if self.batches(m, a) else (m, a) for m, a in self.out
+            (self.sent[m][a][0], self.sent[m][a][1]) if self.is_batched(m, a) else (m, a) for m, a in self.out
         }
         assert len(calls) <= self.settings.slots, "more calls than slots"
 
-    def batches(self, message: int, attempt: int) -> bool:
+    def is_batched(self, message: int, attempt: int) -> bool:
         return self.settings.kinds[self.entries[self.sent[message][attempt][0]].kind].batch > 1
 
-    def check_turn(self, message: int, key: int) -> None:
-        for other, told in self.taken.items():
+    def check_order(self, message: int, key: int) -> None:
+        for other, accepted in self.taken.items():
             if other == message:
                 break
-            if told.key == key and self.settings.classes[told.cls].in_order:
-                assert other in self.answers, "an earlier message of the key is not over"
-                assert not any(owner == other for owner, _ in self.out), "an earlier one has an attempt out"
+            if accepted.key == key and self.settings.classes[accepted.cls].in_order:
+                assert other in self.answers, "an earlier message of the key has no final answer"
+                assert not any(owner == other for owner, _ in self.out), (
+                    "an earlier one has an attempt in flight"
+                )
         first = not self.sent.get(message)
-        assert not first or self.now >= self.rests.get(key, 0.0), "the key must rest"
+        assert not first or self.now >= self.key_pauses.get(key, 0.0), "sent while the key was paused"
--- a/tests/test_any_day.py
+++ b/tests/test_any_day.py
@@ -60,9 +60,9 @@
             base = ENTRIES[pick]
             entry = Entry(base.endpoint, base.destination, base.kind, base.zone, state, base.rate_per_s)
             if kind is ListKind.FAILED:
-                told_off = dict(harness.told_off)
+                not_ready_since = dict(harness.not_ready_since)
                 harness.list(kind=kind)
-                harness.told_off = told_off
+                harness.not_ready_since = not_ready_since
             else:
                 harness.list(entry, kind=kind)
         case ("withdraw", pick):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -89,7 +89,7 @@
     asked = [type(action).__name__ for action in harness.actions].count("Subscribe")
     assert asked == 1
     harness.list(kind=ListKind.FAILED)
-    harness.told_off.clear()
+    harness.not_ready_since.clear()
     harness.arrive(1)
     assert harness.where(1) == ["one"]
     seen = []
