--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The six rules, each by hand; `harness.DispatcherHarness` asserts them from outside after every batch."""
+"""The six delivery rules, case by case; `DispatcherHarness` asserts them after every batch."""
 
 import math
 from collections import Counter
@@ -19,7 +19,7 @@
     assert harness.answers[1] in ("fail", "served")
 
 
-def test_unsent_is_refused_and_tried_is_failed_past_the_latest_start():
+def test_past_the_latest_start_unsent_messages_are_refused_and_tried_ones_failed():
     harness = DispatcherHarness(ONE)
     harness.arrive(1, destination=9)
     harness.pass_ms(6000)
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_EXECUTED])
-def test_an_unsafe_message_that_never_ran_goes_again(outcome):
+def test_an_unsafe_message_that_was_not_executed_is_sent_again(outcome):
     harness = DispatcherHarness(ONE, TWO)
     harness.arrive(1, UNSAFE)
     harness.end(1, outcome)
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_an_unsafe_message_that_may_have_run_is_failed_at_once(outcome):
+def test_an_unsafe_message_that_may_have_been_executed_fails_at_once(outcome):
     harness = DispatcherHarness(ONE, TWO)
     harness.arrive(1, UNSAFE)
     harness.end(1, outcome)
@@ -58,7 +58,7 @@
 
 
 def test_a_repeat_of_a_keyed_message_tells_the_end_of_its_window():
-    # Guards against a repeat that begins later than it was decided, past its window.
+    # A repeat that starts later than it was decided could start past its window.
     harness, seen = DispatcherHarness(ONE, TWO), []
     harness.check = lambda action, check=harness.check: (seen.append(action), check(action))
     harness.arrive(1, KEYED)
@@ -70,21 +70,21 @@
     assert repeat.start_by_ms == at + 5000
 
 
-@pytest.mark.parametrize("news", ["drain", "gone", "left out of the whole list"])
-def test_nothing_new_goes_to_an_endpoint_that_drains_or_is_gone(news):
+@pytest.mark.parametrize("change", ["drain", "gone", "left out of the whole list"])
+def test_nothing_new_is_sent_to_an_endpoint_that_drains_or_is_gone(change):
     harness = DispatcherHarness(ONE)
-    if news == "left out of the whole list":
+    if change == "left out of the whole list":
         harness.list(Entry("two", 1))
     else:
         harness.list(
-            Entry("one", 1, state=State.DRAINING if news == "drain" else State.GONE), kind=ListKind.DELTA
+            Entry("one", 1, state=State.DRAINING if change == "drain" else State.GONE), kind=ListKind.DELTA
         )
     harness.arrive(1)
     harness.pass_ms(2000, timeouts=False)
     assert "one" not in harness.where(1)
 
 
-def test_a_failed_subscription_is_asked_for_again_and_the_list_stays_valid():
+def test_a_failed_subscription_is_retried_and_the_list_stays_valid():
     harness = DispatcherHarness(ONE, subscribes=True)
     asked = [type(action).__name__ for action in harness.actions].count("Subscribe")
     assert asked == 1
@@ -99,7 +99,7 @@
     assert "Subscribe" in seen
 
 
-def test_a_told_wait_holds_for_the_whole_destination():
+def test_a_requested_wait_applies_to_the_whole_destination():
     harness = DispatcherHarness(ONE, TWO)
     harness.arrive(1)
     harness.end(1, Outcome.FULL, wait=800)
@@ -110,7 +110,7 @@
     assert 2 in harness.sent
 
 
-def test_a_told_wait_holds_for_one_route_where_routes_are_apart():
+def test_a_requested_wait_applies_to_one_route_where_routes_are_separate():
     harness = DispatcherHarness(Entry("one", 1, kind=1), Entry("two", 1, kind=1))
     harness.arrive(1)
     waiting = harness.where(1)[0]
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
-def test_messages_of_a_key_go_in_turn_and_the_key_rests(outcome):
+def test_messages_of_a_key_are_sent_in_order_and_the_key_pauses(outcome):
     harness = DispatcherHarness(ONE, TWO)
     harness.arrive(1, ORDERED, key=7)
     harness.arrive(2, ORDERED, key=7)
@@ -131,8 +131,8 @@
     assert 2 in harness.sent
 
 
-def pushed_after_an_outage(dispatchers: int) -> int:
-    """Sends in the first window of the rule after a busy destination's outage ends."""
+def sends_after_an_outage(dispatchers: int) -> int:
+    """Sends within `fall_ms` after the outage of a busy destination ends."""
     harness = DispatcherHarness(ONE, slots=40, max_held=4000, dispatchers=dispatchers)
     message = 0
 
@@ -152,14 +152,14 @@
     busy = traffic(10000, Outcome.OK) / 5
     traffic(8000, Outcome.CONNECT_FAILED)
     rule = harness.settings
-    pushed = traffic(rule.fall_ms, Outcome.OK)
-    assert pushed <= rule.fall_multiple * busy * (rule.cold_from + 0.5 * rule.fall_ms / rule.warm_within_ms)
-    return pushed
+    sends = traffic(rule.fall_ms, Outcome.OK)
+    assert sends <= rule.fall_multiple * busy * (rule.cold_from + 0.5 * rule.fall_ms / rule.warm_within_ms)
+    return sends
 
 
 @pytest.mark.parametrize("dispatchers", [1, 3])
-def test_a_destination_that_returns_is_not_pushed_over(dispatchers):
-    assert pushed_after_an_outage(dispatchers) >= 1
+def test_a_destination_is_not_overloaded_as_it_recovers(dispatchers):
+    assert sends_after_an_outage(dispatchers) >= 1
 
 
 def test_a_message_withdrawn_by_its_client_is_never_sent_again():
@@ -179,7 +179,7 @@
     assert harness.feed(late) == []
 
 
-def test_each_message_of_a_shared_call_may_tell_its_own_wait():
+def test_each_message_of_a_shared_call_may_bring_its_own_wait():
     harness = DispatcherHarness(Entry("one", 1, kind=2))
     harness.arrive_together(1, 2, 3)
     assert len(harness.dispatcher.destinations[1].calls) == 1, "they share a call"
@@ -187,11 +187,11 @@
         harness.pass_ms(10, timeouts=False)
         harness.end(n, Outcome.FULL, wait=600)
     harness.arrive(4)
-    harness.answer_all(3000, 100)  # the bed asserts that the last of the waits is kept
+    harness.answer_all(3000, 100)  # the harness asserts that the longest wait is kept
     assert harness.answers[4] == "served"
 
 
-def test_a_flood_of_one_tenant_yields_to_the_others():
+def test_a_flood_of_one_tenant_is_shed_before_other_tenants():
     tenants = (Tenant("calm", 0.5, 4.0), Tenant("flood", 0.5, 4.0))
     harness = DispatcherHarness(ONE, TWO, tenants=tenants, over_share_worth=0.2, slots=2, max_held=30)
     for n in range(60):
@@ -203,7 +203,7 @@
     assert harness.answers[100] == "served"
 
 
-def test_one_refusal_at_a_fresh_endpoint_does_not_slow_it_for_the_whole_warm_up():
+def test_one_refusal_at_a_new_endpoint_does_not_start_a_warm_up():
     harness = DispatcherHarness(ONE)
     harness.arrive(1)
     harness.end(1, Outcome.FULL, wait=300)
@@ -212,7 +212,7 @@
     assert harness.dispatcher.endpoints["one"].warm == 1.0
 
 
-def test_an_unsafe_message_is_not_given_up_while_its_answer_is_merely_slow():
+def test_an_unsafe_message_does_not_time_out_while_its_answer_is_merely_slow():
     harness = DispatcherHarness(ONE)
     harness.arrive(1, UNSAFE)
     harness.pass_ms(8000)
@@ -221,7 +221,7 @@
     assert harness.answers[1] == "served"
 
 
-def test_connections_dropped_unseen_are_closed_before_they_fail_another_message():
+def test_idle_connections_are_closed_early_after_one_was_dropped_silently():
     harness = DispatcherHarness(ONE)
     harness.arrive(1)
     harness.end(1, Outcome.OK)
@@ -229,7 +229,7 @@
     harness.arrive(2)
     harness.end(2, Outcome.RESET)
     harness.pass_ms(500, timeouts=False)
-    assert harness.dispatcher.endpoints["one"].strikes == 0, "it tells of the connection, not of the endpoint"
+    assert harness.dispatcher.endpoints["one"].strikes == 0, "the connection is at fault, not the endpoint"
     harness.end(2, Outcome.OK)
     harness.pass_ms(1500, timeouts=False)
     harness.arrive(3)
@@ -237,7 +237,7 @@
     assert kinds.index("CloseIdleConnections") < kinds.index("Send"), "the message goes on a fresh connection"
 
 
-def test_an_idle_connection_is_not_blamed_while_one_that_idled_as_long_works():
+def test_idling_is_not_blamed_while_a_connection_idle_as_long_works():
     harness = DispatcherHarness(ONE, Entry("other", 2))
     for number, destination in ((1, 1), (2, 2)):
         harness.arrive(number, destination=destination)
@@ -251,14 +251,14 @@
     assert harness.dispatcher.endpoints["one"].strikes == 2, "the endpoint is at fault"
 
 
-def test_failed_connects_at_an_endpoint_that_was_well_close_idle_connections_sooner():
+def test_failed_connects_at_a_healthy_endpoint_close_idle_connections_sooner():
     harness = DispatcherHarness(ONE)
     harness.arrive(1)
     harness.end(1, Outcome.CONNECT_FAILED)
     assert harness.dispatcher.idle_limit_ms() <= harness.settings.conn_idle_ms / 2
 
 
-def test_a_payment_on_an_idled_connection_does_not_hold_its_slot_for_long_while_drops_are_known():
+def test_an_unsafe_call_on_an_idle_connection_times_out_early_while_drops_are_known():
     harness = DispatcherHarness(ONE, Entry("other", 2))
     harness.arrive(1, destination=2)
     harness.end(1, Outcome.CONNECT_FAILED)
@@ -283,56 +283,56 @@
     assert not harness.sends() and endpoint.next_call_at > harness.now
 
 
-def many(harness, destination, numbers):
+def arrive_batch(harness, destination, numbers):
     harness.feed(*(harness.arrival(number, destination=destination) for number in numbers))
 
 
 def test_scarce_slots_go_to_a_whole_batch_before_single_messages():
-    # Guards against slots that are full of single calls while a hundred messages wait for one of their own.
+    # Single calls must not fill the slots while a hundred messages wait for one batch.
     harness = DispatcherHarness(ONE, Entry("many", 2, kind=2), slots=4)
-    many(harness, 1, range(1, 9))  # three of four slots, by the bulkhead
-    many(harness, 2, range(10, 13))  # the fourth
-    many(harness, 2, range(20, 40))
+    arrive_batch(harness, 1, range(1, 9))  # three of four slots, the bulkhead's limit
+    arrive_batch(harness, 2, range(10, 13))  # the fourth
+    arrive_batch(harness, 2, range(20, 40))
     harness.pass_ms(20, timeouts=False)
     harness.end(1, Outcome.OK)
     assert len(harness.sends()) == 20 and {send.endpoint for send in harness.sends()} == {"many"}
 
 
 def test_slow_destinations_share_half_of_the_slots():
-    # Guards against slots that all wait for what is slow while the rest of the partners stand idle.
+    # Slow partners must not take all slots while the others are idle.
     harness = DispatcherHarness(*(Entry(f"e{n}", n) for n in range(1, 5)), slots=8)
     for destination in (1, 2, 3):
-        many(harness, destination, [10 * destination])
-    harness.pass_ms(500, timeouts=False)  # more than twice a usual call, not yet too long to send more
+        arrive_batch(harness, destination, [10 * destination])
+    harness.pass_ms(500, timeouts=False)  # over twice an expected call, but not yet unresponsive
     for destination in (1, 2, 3):
-        many(harness, destination, range(10 * destination + 1, 10 * destination + 9))
+        arrive_batch(harness, destination, range(10 * destination + 1, 10 * destination + 9))
     slow = [message for message, _ in harness.out]
     assert len(slow) <= 4 and {message // 10 for message in slow} == {1, 2, 3}
-    many(harness, 4, [41, 42, 43, 44])
+    arrive_batch(harness, 4, [41, 42, 43, 44])
     assert sum(message > 40 for message, _ in harness.out) == 4
 
 
-def test_an_endpoint_that_hangs_leaves_the_slots_of_its_destination_to_those_that_answer():
-    # Guards against one hung endpoint that stops all messages of its destination, and of four others like it.
+def test_a_hung_endpoint_leaves_slots_to_the_other_endpoints_of_its_destination():
+    # One hung endpoint must not stop its whole destination, nor four such endpoints all of them.
     hung = [Entry(f"hung{n}", n) for n in range(1, 5)]
     harness = DispatcherHarness(*hung, slots=8)
     for destination in range(1, 5):
-        many(harness, destination, [10 * destination])
+        arrive_batch(harness, destination, [10 * destination])
     harness.list(*hung, *(Entry(f"well{n}", n) for n in range(1, 5)), kind=ListKind.DELTA)
     harness.pass_ms(5, timeouts=False)
     for destination in range(1, 5):
-        many(harness, destination, [10 * destination + 2])
+        arrive_batch(harness, destination, [10 * destination + 2])
         harness.end(10 * destination + 2, Outcome.OK)
     harness.pass_ms(500, timeouts=False)
     for destination in range(1, 5):
-        many(harness, destination, [10 * destination + 1])
+        arrive_batch(harness, destination, [10 * destination + 1])
     assert Counter(harness.out.values()) == Counter(
         f"{how}{n}" for how in ("hung", "well") for n in range(1, 5)
     )
 
 
-def test_resets_that_other_calls_are_spared_neither_trip_an_endpoint_nor_close_idle_connections():
-    # Guards against a network that resets some connections: it is no outage, and idling is not to blame.
+def test_occasional_resets_neither_trip_an_endpoint_nor_close_idle_connections():
+    # A network that resets some connections is no outage, and idling is not the cause.
     harness = DispatcherHarness(ONE)
     for number in range(1, 13):
         harness.arrive(number)
@@ -345,7 +345,7 @@
     assert harness.dispatcher.idle_limit_ms() == harness.settings.conn_idle_ms
 
 
-def test_failed_connects_do_not_cut_the_keeping_of_connections_to_nothing():
+def test_failed_connects_do_not_cut_the_idle_limit_to_nothing():
     harness = DispatcherHarness(*(Entry(f"e{n}", n) for n in range(1, 9)))
     for number in range(1, 9):
         harness.arrive(number, destination=number)
