--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""A cold return is borne however many dispatchers call there, each of which knows only its own part."""
+"""A destination that recovers cold is not overloaded, however many independent dispatchers call it."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 SEEDS = range(1, 4)
 
 
-def broken(name, budget, size):
-    """The runs in which dispatchers that had been told of the outage pushed the destination over."""
+def overloads(name, budget, size):
+    """The runs in which dispatchers that had seen the outage overloaded the destination."""
     results = {seed: Return(budget, size, seed, SCENARIO[name]).play() for seed in SEEDS}
     return {seed: result for seed, result in results.items() if result.broken}
 
@@ -23,8 +23,8 @@
 
 
 @pytest.mark.parametrize("budget, size", RESTARTS)
-def test_a_fleet_that_restarts_as_a_destination_comes_back_does_not_push_it_over(budget, size):
-    assert not broken("restarts at the return", budget, size)
+def test_a_fleet_that_restarts_as_a_destination_recovers_does_not_overload_it(budget, size):
+    assert not overloads("restarts at the return", budget, size)
 
 
 CONNECTS = (
@@ -44,39 +44,39 @@
 
 
 @pytest.mark.parametrize("name, budget, size", CONNECTS)
-def test_connects_that_wait_through_an_outage_do_not_push_over_what_comes_back(name, budget, size):
-    assert not broken(name, budget, size)
+def test_connects_pending_through_an_outage_do_not_overload_the_recovering_destination(name, budget, size):
+    assert not overloads(name, budget, size)
 
 
 ENDPOINTS = ((2.0, 30), (2.0, 200), (5.0, 30), (5.0, 200), (20.0, 200))
 
 
 @pytest.mark.parametrize("budget, size", ENDPOINTS)
-def test_who_sends_little_to_each_of_two_endpoints_sees_an_outage_of_both(budget, size):
-    assert not broken("two endpoints", budget, size)
+def test_a_dispatcher_that_sends_little_detects_an_outage_of_two_endpoints(budget, size):
+    assert not overloads("two endpoints", budget, size)
 
 
-def test_a_call_that_hung_came_before_the_return_and_the_stricter_reading_counts_it():
-    told = strict = 0
+def test_only_the_strict_count_includes_calls_that_hung_since_before_the_recovery():
+    informed = strict = 0
     for seed in SEEDS:
         result = Return(20.0, 20, seed, SCENARIO["hangs, long"]).play()
-        told, strict = told + result.told.fell, strict + result.strict.fell
-    assert told == 0 < strict
+        informed, strict = informed + result.told.fell, strict + result.strict.fell
+    assert informed == 0 < strict
 
 
 GAPS = ((1, 3.0), (2, 3.0), (3, 3.0), (1, 0.01), (2, 0.01), (3, 0.01))
 
 
-@pytest.mark.parametrize("count, pace", GAPS)
-def test_trials_at_several_endpoints_are_together_no_more_than_at_one(count, pace):
-    # Three quarters of what may come as an outage ends, or of one each half second; of all dispatchers.
+@pytest.mark.parametrize("count, rate", GAPS)
+def test_trials_at_several_endpoints_are_together_no_more_than_at_one(count, rate):
+    # Of all dispatchers together: three quarters of the rate permitted on recovery, or of one per 500 ms.
     entries = [Entry(f"e{number}", 1) for number in range(count)]
     harness = DispatcherHarness(*entries, dispatchers=30)
-    harness.feed(*(ColdStateRestored(entry.endpoint, pace) for entry in entries))
+    harness.feed(*(ColdStateRestored(entry.endpoint, rate) for entry in entries))
     per_s = sum(
         1000.0 / harness.dispatcher.cold_gap_ms(harness.dispatcher.endpoints[e.endpoint]) for e in entries
     )
-    assert per_s == pytest.approx(0.75 * max(0.9 * 2.0 * 0.2 * pace, 2.0 / 30.0))
+    assert per_s == pytest.approx(0.75 * max(0.9 * 2.0 * 0.2 * rate, 2.0 / 30.0))
 
 
 def test_endpoints_that_trip_together_have_no_early_trials():
@@ -89,21 +89,21 @@
         if harness.out:
             harness.end(next(iter(harness.out))[0], Outcome.CONNECT_FAILED)
     opens = [harness.dispatcher.endpoints[name].next_call_at - harness.now for name in ("e1", "e2")]
-    assert min(opens) > 1_000.0, "each at a moment within its gap of forty seconds"
+    assert min(opens) > 1_000.0, "each at a random time within its gap of forty seconds"
 
 
-def given_up(harness, message, took_ms=1_500.0):
-    """A connect that nobody answered, or, within `UNANSWERED_CONNECT_MS`, that was refused."""
+def connect_failed(harness, message, took_ms=1_500.0):
+    """A connect that timed out, or was refused if it took less than `UNANSWERED_CONNECT_MS`."""
     harness.arrive(message)
     harness.pass_ms(took_ms, timeouts=False)
     harness.end(message, Outcome.CONNECT_FAILED)
 
 
 @pytest.mark.parametrize("took_ms, least, most", ((30.0, 3, 3), (1_500.0, 0, 1)))
-def test_after_a_connect_that_was_given_up_and_not_refused_calls_go_one_at_a_time(took_ms, least, most):
-    # The message that failed and two new ones: at once, or as a trial within the gap of trials.
+def test_after_a_connect_that_timed_out_calls_are_sent_one_at_a_time(took_ms, least, most):
+    # The failed message and two new ones: all at once, or one as a trial within the trial gap.
     harness = DispatcherHarness(Entry("e1", 1))
-    given_up(harness, 1, took_ms)
+    connect_failed(harness, 1, took_ms)
     harness.arrive(2)
     harness.arrive(3)
     harness.pass_ms(300.0, timeouts=False)
@@ -112,10 +112,10 @@
     assert len(harness.out) == max(most, 1)
 
 
-def test_what_answers_past_a_connect_that_nobody_answered_is_cold():
-    # It may have been the one sign of an outage; the next calls go by the ramp, the first after its gap.
+def test_an_endpoint_that_answers_after_an_unanswered_connect_is_cold():
+    # The connect may be the only sign of an outage, so calls ramp up, the first after the cold gap.
     harness = DispatcherHarness(Entry("e1", 1))
-    given_up(harness, 1)
+    connect_failed(harness, 1)
     harness.pass_ms(700.0, timeouts=False)
     owner, attempt = next(iter(harness.out))
     harness.end(owner, Outcome.OK, attempt)
@@ -127,7 +127,7 @@
     assert 1 <= len(harness.out) < 5
 
 
-def test_a_connect_that_was_lost_while_others_were_answered_is_no_sign_of_an_outage():
+def test_a_lost_connect_while_others_were_answered_is_no_outage():
     harness = DispatcherHarness(Entry("e1", 1))
     harness.arrive(1)
     harness.arrive(2)
@@ -146,8 +146,8 @@
 
 
 @pytest.mark.parametrize("took_ms", (405.0, 900.0))
-def test_a_connect_of_a_trial_that_comes_up_late_is_not_used_and_tells_of_the_outage(took_ms):
-    # What waits for its connection as the outage ends must not come in then.
+def test_a_trial_that_connects_late_is_not_used_and_counts_as_a_failure(took_ms):
+    # Calls waiting for a connection must not all arrive as the outage ends.
     harness = DispatcherHarness(Entry("e1", 1))
     harness.arrive(1)
     assert harness.sends()[0].start_by_ms == float("inf")
@@ -157,7 +157,7 @@
         harness.pass_ms(5.0, timeouts=False)
     trial = harness.sends()[0]
     assert trial.start_by_ms == pytest.approx(harness.sent[1][1][1] + 500.0)
-    harness.pass_ms(took_ms, timeouts=False)  # within a look of its bound, or past it
+    harness.pass_ms(took_ms, timeouts=False)  # within `START_CHECK_MS` of its limit, or past it
     harness.end(1, Outcome.NOT_EXECUTED)
     assert not harness.out and harness.dispatcher.endpoints["e1"].tripped
     harness.pass_ms(300.0, timeouts=False)
@@ -173,7 +173,9 @@
 
 
 @pytest.mark.parametrize("kind, outcome, together", TOGETHER)
-def test_endpoints_that_fail_by_turns_trip_together_unless_they_are_routes_apart(kind, outcome, together):
+def test_endpoints_that_fail_alternately_trip_together_unless_they_are_separate_routes(
+    kind, outcome, together
+):
     harness = DispatcherHarness(Entry("e1", 1, kind), Entry("e2", 1, kind))
     both = [harness.dispatcher.endpoints[name] for name in ("e1", "e2")]
     for number, name in enumerate(("e1", "e2", "e1", "e2"), 1):
@@ -188,7 +190,7 @@
     assert [endpoint.tripped for endpoint in both] == [together, together]
 
 
-def test_one_error_at_each_of_two_endpoints_is_no_outage_of_both():
+def test_one_error_at_each_of_two_endpoints_trips_neither():
     harness = DispatcherHarness(Entry("e1", 1), Entry("e2", 1))
     both = [harness.dispatcher.endpoints[name] for name in ("e1", "e2")]
     for number, name in enumerate(("e1", "e2"), 1):
@@ -201,25 +203,25 @@
     assert not any(endpoint.tripped for endpoint in both)
 
 
-@pytest.mark.parametrize("zone, beside", ((0, True), (1, False)))
-def test_as_connects_to_two_come_to_nothing_the_third_of_their_zone_is_taken_for_gone(zone, beside):
+@pytest.mark.parametrize("zone, tripped", ((0, True), (1, False)))
+def test_unanswered_connects_to_two_endpoints_trip_the_third_of_their_zone(zone, tripped):
     harness = DispatcherHarness(Entry("e1", 1), Entry("e2", 1), Entry("e3", 1, zone=zone))
     harness.dispatcher.endpoints["e3"].score = 0.4
-    given_up(harness, 1)
+    connect_failed(harness, 1)
     assert harness.dispatcher.endpoints[harness.where(1)[0]].tripped
     harness.pass_ms(300.0, timeouts=False)
     harness.pass_ms(1_500.0, timeouts=False)
     harness.end(1, Outcome.CONNECT_FAILED)
     assert sorted(harness.where(1)) == ["e1", "e2"]
-    assert harness.dispatcher.endpoints["e3"].tripped is beside
+    assert harness.dispatcher.endpoints["e3"].tripped is tripped
 
 
-def test_a_successor_keeps_what_was_known_of_connects_that_nobody_answered():
+def test_a_successor_inherits_unanswered_connects():
     old, new = DispatcherHarness(Entry("e1", 1)), DispatcherHarness(Entry("e1", 1))
-    given_up(old, 1)
+    connect_failed(old, 1)
     old.pass_ms(700.0, timeouts=False)
-    told = learned.export(old.dispatcher)
-    new.feed(LearnedStateRestored(told, ahead_ms=5_000.0))
+    state = learned.export(old.dispatcher)
+    new.feed(LearnedStateRestored(state, ahead_ms=5_000.0))
     lane = new.dispatcher.lanes[1]
     assert (
         lane.connect_unanswered_at
@@ -230,12 +232,12 @@
     assert new.dispatcher.connects_unanswered(lane)
 
 
-def test_what_an_earlier_version_tells_is_taken_up_without_what_it_did_not_know():
+def test_learned_state_of_an_older_build_is_restored_without_newer_attributes():
     old, new = DispatcherHarness(Entry("e1", 1)), DispatcherHarness(Entry("e1", 1))
-    given_up(old, 1)
-    told = learned.export(old.dispatcher)
-    told["lanes"] = [(key, values[:7], *flows) for key, values, *flows in told["lanes"]]
-    new.feed(LearnedStateRestored(told))
+    connect_failed(old, 1)
+    state = learned.export(old.dispatcher)
+    state["lanes"] = [(key, values[:7], *flows) for key, values, *flows in state["lanes"]]
+    new.feed(LearnedStateRestored(state))
     assert new.dispatcher.endpoints["e1"].tripped and not new.dispatcher.connects_unanswered(
         new.dispatcher.lanes[1]
     )
