--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,10 +1,9 @@
-"""Many dispatchers in one thread on virtual time, which share nothing but the destinations that they call.
+"""Simulates many dispatchers in one thread on virtual time that share nothing but their destinations.
 
-A small model: it shows the direction of a change, the bench tells its size. Left out are sockets, turns of
-the loop, processor time, the journal, clients that come again and batches that fare differently within a
-call. What is there: limits that all dispatchers use up together, by a bucket or a count in a window, with
-refused calls counted; told waits or none; outages with a cold return, and a destination that is pushed over
-there; limits that fall and rise; kills.
+The model shows the direction of a change, not its size. It has rate limits shared by all dispatchers (token
+bucket or fixed window, refused calls counted), refusals with and without a wait, outages with a cold recovery
+and overload, limits that fall and rise, and kills. It leaves out sockets, event loop turns, processor time,
+the journal, clients that retry, and batches whose messages end differently.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
     api.MessageClass("payment", 2000, 12000, 2.0, 0.5, Effect.UNSAFE),
 )
 KINDS = (api.Kind("plain"), api.Kind("route", apart=True, batch=20))
-SERVICE_MS = 60.0  # a call that is taken, without what it waits
+SERVICE_MS = 60.0  # of an accepted call, without queueing
 REFUSAL_MS = 30.0
 CONNECT_FAILS_MS = 30.0
 COLD_FROM, WARM_MS, FALL, FALL_MS = 0.18, 13_000.0, 2.0, 2_000.0
@@ -35,28 +34,28 @@
 
 @dataclass(slots=True)
 class Target:
-    """One endpoint. `limit` in calls a second binds all dispatchers together, `capacity` what it can do."""
+    """A simulated endpoint. `limit` and `capacity` are calls a second of all dispatchers together."""
 
     name: str
     destination: int
     limit: float = math.inf
     capacity: float = math.inf
-    window_ms: float = 0.0  # a count in each span of this; else a bucket of `depth_s`
+    window_ms: float = 0.0  # fixed window; 0 for a token bucket of `depth_s`
     depth_s: float = 0.6
-    tells: float = 0.6  # this share of refusals tells a wait
+    wait_share: float = 0.6  # share of refusals that ask for a wait
     kind: int = 0
     down: tuple[float, float] = (math.inf, math.inf)
-    lowered: tuple[float, float, float] = (math.inf, math.inf, 1.0)  # from, to, and the share of the limit
+    reduced: tuple[float, float, float] = (math.inf, math.inf, 1.0)  # start, end and share of the limit
     tokens: float = 0.0
     filled_at: float = 0.0
     counts: dict[int, int] = field(default_factory=dict)
     free_at: float = 0.0
-    fallen_at: float = math.inf
-    recent: deque[float] = field(default_factory=deque)  # calls of the last `FALL_MS`, while it is cold
-    calls: list[tuple[float, str]] = field(default_factory=list)  # when, and what came of it
+    overloaded_at: float = math.inf
+    recent: deque[float] = field(default_factory=deque)  # call times within `FALL_MS`, while cold
+    calls: list[tuple[float, str]] = field(default_factory=list)  # time and outcome
 
     def limit_at(self, now: float) -> float:
-        start, end, share = self.lowered
+        start, end, share = self.reduced
         return self.limit * (share if start <= now < end else 1.0)
 
     def warmth(self, now: float) -> float:
@@ -64,7 +63,7 @@
         return 1.0 if since < 0.0 else min(COLD_FROM + (1.0 - COLD_FROM) * since / WARM_MS, 1.0)
 
     def refuses(self, now: float) -> bool:
-        """The limit; a call that is refused uses it up like another."""
+        """Whether the limit refuses a call; refused calls use it up as well."""
         limit = self.limit_at(now)
         if limit == math.inf:
             return False
@@ -80,24 +79,24 @@
         self.tokens = max(self.tokens, -most)
         return refused
 
-    def wait_ms(self, now: float, chance: random.Random) -> float:
-        if chance.random() >= self.tells:
+    def wait_ms(self, now: float, rng: random.Random) -> float:
+        if rng.random() >= self.wait_share:
             return 0.0
         if self.window_ms:
             return self.window_ms - now % self.window_ms
         return max((1.0 - self.tokens) * 1000.0 / self.limit_at(now), 400.0)
 
-    def answer(self, now: float, chance: random.Random) -> tuple[Outcome, float, float]:
-        """What comes of a call that comes in now: outcome, how long it takes, and a told wait."""
-        outcome, took, wait = self.fate(now, chance)
+    def answer(self, now: float, rng: random.Random) -> tuple[Outcome, float, float]:
+        """Outcome, duration and requested wait of a call that arrives now."""
+        outcome, took, wait = self.outcome_at(now, rng)
         self.calls.append((now, outcome.name))
         return outcome, took, wait
 
-    def fate(self, now: float, chance: random.Random) -> tuple[Outcome, float, float]:
-        if self.down[0] <= now < self.down[1] or now >= self.fallen_at:
+    def outcome_at(self, now: float, rng: random.Random) -> tuple[Outcome, float, float]:
+        if self.down[0] <= now < self.down[1] or now >= self.overloaded_at:
             return Outcome.CONNECT_FAILED, CONNECT_FAILS_MS, 0.0
         if self.refuses(now):
-            return Outcome.FULL, REFUSAL_MS, self.wait_ms(now, chance)
+            return Outcome.FULL, REFUSAL_MS, self.wait_ms(now, rng)
         if self.capacity == math.inf:
             return Outcome.OK, SERVICE_MS, 0.0
         able = self.capacity * self.warmth(now)
@@ -106,7 +105,7 @@
             while self.recent[0] < now - FALL_MS:
                 self.recent.popleft()
             if len(self.recent) > FALL * able * FALL_MS / 1000.0:
-                self.fallen_at = now
+                self.overloaded_at = now
         begins = max(self.free_at, now)
         if begins - now > 1000.0:
             return Outcome.FULL, REFUSAL_MS, 0.0
@@ -121,11 +120,11 @@
 
 
 class Fleet:
-    """`size` dispatchers and the targets, played to an end by `run`; the same seed plays the same run."""
+    """`size` dispatchers and their targets, advanced by `run`; a run is determined by the seed."""
 
     def __init__(self, size: int, targets: list[Target], seed: int, **changes) -> None:
-        self.chance, self.targets = random.Random(seed), targets
-        told = {
+        self.rng, self.targets = random.Random(seed), targets
+        values = {
             "classes": CLASSES,
             "kinds": KINDS,
             "zones": ("east",),
@@ -137,23 +136,23 @@
             "cold_from": COLD_FROM,
             "warm_within_ms": WARM_MS,
         }
-        self.settings = Settings(**(told | changes))
+        self.settings = Settings(**(values | changes))
         self.names = {target.name: target for target in targets}
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.order, self.numbers = itertools.count(), itertools.count(1)
         self.dispatchers: dict[int, Dispatcher] = {}
         self.attempts: dict[int, int] = {}
-        self.taken: dict[int, tuple[float, int, int]] = {}  # by message: when, its class, its destination
+        self.taken: dict[int, tuple[float, int, int]] = {}  # by message: time, class, destination
         self.ends: dict[int, tuple[float, str]] = {}
         self.owners: dict[int, int] = {}
-        self.out: dict[int, tuple[float, str]] = {}  # by message: since when a call is out, and where
-        self.twice: list[int] = []  # messages that ran and may not be repeated, and were sent again
+        self.out: dict[int, tuple[float, str]] = {}  # by message: start and endpoint of its call in flight
+        self.sent_twice: list[int] = []  # unsafe messages sent again after they were executed
         for index in range(size):
             self.start(index)
 
     def start(self, index: int, resumed: tuple[api.Event, ...] = ()) -> None:
-        self.dispatchers[index] = Dispatcher(self.settings, self.chance.randrange(1 << 30))
+        self.dispatchers[index] = Dispatcher(self.settings, self.rng.randrange(1 << 30))
         entries = tuple(Entry(t.name, t.destination, kind=t.kind) for t in self.targets)
         self.feed(index, api.EndpointListReceived(api.ListKind.FULL, 1, entries), *resumed)
 
@@ -181,12 +180,12 @@
                 self.call(index, endpoint, numbers[begin : begin + size])
 
     def call(self, index: int, endpoint: str, numbers: list[int]) -> None:
-        outcome, took, wait = self.names[endpoint].answer(self.now, self.chance)
+        outcome, took, wait = self.names[endpoint].answer(self.now, self.rng)
         ends = []
         for number in numbers:
             attempt = self.attempts.get(number, 0)
             if self.taken[number][1] == UNSAFE and self.ends.get(number, (0.0, ""))[1] == "served":
-                self.twice.append(number)
+                self.sent_twice.append(number)
             self.out[number] = (self.now, endpoint)
             self.attempts[number] = attempt + 1
             over = outcome is Outcome.OK
@@ -196,7 +195,7 @@
         self.later(index, took, *ends)
 
     def later(self, index: int, in_ms: float, *events: api.Event) -> None:
-        dispatcher = self.dispatchers[index]  # what is meant for one that was killed is gone with it
+        dispatcher = self.dispatchers[index]  # events for a killed dispatcher are lost
 
         def come() -> None:
             if self.dispatchers.get(index) is dispatcher:
@@ -210,7 +209,7 @@
         self.at(self.now + in_ms, come)
 
     def kill(self, index: int, back_in_ms: float) -> None:
-        """The process ends at once. The next one has what a journal tells: messages, attempts, calls out."""
+        """Ends the process at once. Its successor knows messages, attempts and calls, as from a journal."""
         del self.dispatchers[index]
         self.at(self.now + back_in_ms, lambda: self.resume(index))
 
@@ -223,21 +222,21 @@
                 left = max(at + CLASSES[cls].deadline_ms - self.now, 0.0)
                 ran_ago = None if since is None else self.now - since
                 attempts = self.attempts.get(number, 0)
-                told = {"attempts": attempts, "ran_ago_ms": ran_ago, "ran_endpoint": endpoint}
-                resumed.append(api.MessageAccepted(number, cls, destination, left, **told))
+                history = {"attempts": attempts, "ran_ago_ms": ran_ago, "ran_endpoint": endpoint}
+                resumed.append(api.MessageAccepted(number, cls, destination, left, **history))
         self.start(index, tuple(resumed))
 
     def arrive(self, destination: int) -> None:
-        number, cls = next(self.numbers), SAFE if self.chance.random() < 0.63 else UNSAFE
-        index = self.chance.choice(list(self.dispatchers))
+        number, cls = next(self.numbers), SAFE if self.rng.random() < 0.63 else UNSAFE
+        index = self.rng.choice(list(self.dispatchers))
         self.taken[number] = (self.now, cls, destination)
         self.owners[number] = index
         self.feed(index, api.MessageAccepted(number, cls, destination, CLASSES[cls].deadline_ms))
 
     def traffic(self, destination: int, per_s: float, start: float, end: float) -> None:
-        """Messages at random moments, dealt to dispatchers by chance."""
+        """Messages at random times, each to a random dispatcher."""
         at = start
-        while (at := at + self.chance.expovariate(per_s / 1000.0)) < end:
+        while (at := at + self.rng.expovariate(per_s / 1000.0)) < end:
             self.at(at, lambda: self.arrive(destination))
 
     def run(self, end: float) -> None:
@@ -247,15 +246,15 @@
         self.now = end
 
     def worth(self, destination: int, start: float = 0.0, end: float = math.inf) -> float:
-        """Of what came in that span: the worth that was earned over the worth asked for."""
-        earned = asked = 0.0
+        """Earned share of the worth of the messages accepted within that span."""
+        earned = total = 0.0
         for number, (at, cls, where) in self.taken.items():
             if where != destination or not start <= at < end:
                 continue
-            told = CLASSES[cls]
-            asked += told.worth
+            spec = CLASSES[cls]
+            total += spec.worth
             ended_at, how = self.ends.get(number, (math.inf, "open"))
             if how == "served":
-                late = max(ended_at - at - told.aim_ms, 0.0) / told.aim_ms
-                earned += told.worth * max(0.5**late, told.late_worth)
-        return earned / asked if asked else 1.0
+                late = max(ended_at - at - spec.aim_ms, 0.0) / spec.aim_ms
+                earned += spec.worth * max(0.5**late, spec.late_worth)
+        return earned / total if total else 1.0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Forty dispatchers that share nothing, on destinations whose limits they use up together."""
+"""Up to forty independent dispatchers on destinations whose rate limits they share."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_calls_that_take_several_messages_gather_them_once_refused(seed):
+def test_batching_calls_collect_messages_once_refused(seed):
     targets = [Target(name, 1, limit=20.0, kind=1) for name in "abc"]
     fleet = Fleet(40, targets, seed)
     fleet.traffic(1, 150.0, 0.0, 20_000.0)
@@ -35,8 +35,8 @@
 
 
 @pytest.mark.parametrize("size, least, most", ((3, 9.0, 11.0), (40, 30.0, 40.0)))
-def test_few_dispatchers_do_not_hold_messages_to_gather_them(size, least, most):
-    # Guards against lanes of three that are held to a call a quarter of the aim: ten a second is no crowd.
+def test_few_dispatchers_do_not_hold_messages_to_fill_batches(size, least, most):
+    # With three dispatchers, a lane must not be limited to one call per quarter of the aim.
     targets = [Target(name, 1, limit=4.0 * size, kind=1) for name in "abc"]
     fleet = Fleet(size, targets, 1)
     fleet.traffic(1, 50.0 * size, 0.0, 20_000.0)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_forty_killed_within_a_second_end_each_message_once_and_press_no_limit_for_long(seed):
+def test_forty_killed_within_a_second_end_each_message_once_and_recover_from_refusals(seed):
     target, down = Target("a", 1, limit=60.0), Target("b", 2, down=(9_000.0, 11_000.0))
     fleet = Fleet(40, [target, down], seed)
     fleet.traffic(1, 48.0, 0.0, 24_000.0)
@@ -63,7 +63,7 @@
     fleet.run(40_000.0)
     assert any(fleet.taken[number][1] == UNSAFE for number in resumed), f"seed {seed}: nothing was held"
     assert fleet.ends.keys() == fleet.taken.keys() and not fleet.owners, f"seed {seed}"
-    assert not fleet.twice, f"seed {seed}: {fleet.twice} ran twice"
+    assert not fleet.sent_twice, f"seed {seed}: {fleet.sent_twice} were sent twice"
 
     def refused(start, end):
         return target.count("FULL", start, end) / target.offered(start, end)
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("size, least", ((1, 0.8), (3, 0.88), (10, 0.8), (40, 0.68)))
 def test_few_dispatchers_keep_a_limit_no_worse_than_many(size, least):
-    # The decisions before the fleet earned 0.72, 0.88, 0.81 and 0.35 here.
+    # Before dispatchers took a shared limit into account, the worth was 0.72, 0.88, 0.81 and 0.35.
     earned = []
     for seed in range(1, 5):
         room = {"max_held": 4000 // size, "slots": max(5, 120 // size)}
@@ -86,9 +86,9 @@
 
 
 @pytest.mark.parametrize("window_ms", (0.0, 2_000.0))
-def test_a_burst_over_the_limit_is_over_soon(window_ms):
+def test_a_burst_over_the_limit_is_absorbed_soon(window_ms):
     earned, refused = [], []
-    for seed in range(1, 7):  # the mean: how long a burst of chance lasts differs much
+    for seed in range(1, 7):  # the mean, since bursts vary in length
         target = Target("a", 1, limit=30.0, window_ms=window_ms)
         fleet = Fleet(40, [target], seed)
         fleet.traffic(1, 24.0, 0.0, 20_000.0)
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_limit_that_falls_and_rises_is_used_again(seed):
-    target = Target("a", 1, limit=80.0, lowered=(6_000.0, 15_000.0, 0.4))
+    target = Target("a", 1, limit=80.0, reduced=(6_000.0, 15_000.0, 0.4))
     fleet = Fleet(40, [target], seed)
     fleet.traffic(1, 50.0, 0.0, 24_000.0)
     fleet.run(32_000.0)
@@ -116,22 +116,22 @@
     fleet = Fleet(40, [target], seed)
     fleet.traffic(1, 50.0, 0.0, 24_000.0)
     fleet.run(32_000.0)
-    assert target.fallen_at == float("inf"), f"seed {seed}"
+    assert target.overloaded_at == float("inf"), f"seed {seed}"
     assert fleet.worth(1, 15_000.0, 24_000.0) > 0.75, f"seed {seed}"
 
 
 @pytest.mark.parametrize("capacity", (55.0, 70.0))
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_destination_with_little_to_spare_is_not_pushed_over(seed, capacity):
+def test_a_recovering_destination_with_little_spare_capacity_is_not_overloaded(seed, capacity):
     target = Target("a", 1, capacity=capacity, down=(6_000.0, 11_000.0))
     fleet = Fleet(40, [target], seed)
     fleet.traffic(1, 50.0, 0.0, 24_000.0)
     fleet.run(32_000.0)
-    assert target.fallen_at == float("inf"), f"seed {seed}"
+    assert target.overloaded_at == float("inf"), f"seed {seed}"
 
 
-class Overbooked:
-    """A directory that works through calls in turn; one that waits too long fails, and has cost its time."""
+class BusyDirectory:
+    """A serial directory: a call that waits longer than `patience_s` fails but still costs its time."""
 
     def __init__(self, call_s: float, patience_s: float = 2.0) -> None:
         self.call_s, self.patience_s, self.free_at = call_s, patience_s, 0.0
@@ -149,14 +149,20 @@
 @pytest.mark.parametrize("after_an_outage", (False, True))
 @pytest.mark.parametrize("seed", SEEDS)
 def test_forty_who_start_together_do_not_ask_the_directory_in_step(seed, after_an_outage):
-    directory, failed, watching = Overbooked(0.15), 0, 0
+    directory, failed, watching = BusyDirectory(0.15), 0, 0
     queue = []
     for number in range(40):
-        asks = ReconnectSchedule(random.Random(1000 * seed + number), 40)
-        queue.append((asks.delay_after_end(60.0) if after_an_outage else asks.initial_delay(), number, asks))
+        schedule = ReconnectSchedule(random.Random(1000 * seed + number), 40)
+        queue.append(
+            (
+                schedule.delay_after_end(60.0) if after_an_outage else schedule.initial_delay(),
+                number,
+                schedule,
+            )
+        )
     heapq.heapify(queue)
     while queue:
-        now, number, asks = heapq.heappop(queue)
+        now, number, schedule = heapq.heappop(queue)
         if now > 15.0:
             break
         answered, at = directory.ask(now)
@@ -164,33 +170,33 @@
             watching += 1
         else:
             failed += 1
-            heapq.heappush(queue, (max(at, now + asks.delay_after_failure(at - now)), number, asks))
-    assert watching == 40 and failed < 40, f"seed {seed}: {watching} watch, {failed} asked in vain"
+            heapq.heappush(queue, (max(at, now + schedule.delay_after_failure(at - now)), number, schedule))
+    assert watching == 40 and failed < 40, f"seed {seed}: {watching} watch, {failed} failed requests"
 
 
-def test_one_who_asks_in_vain_is_never_silent_for_ten_seconds():
+def test_retries_after_failed_requests_are_less_than_ten_seconds_apart():
     for dispatchers in (1, 3, 40, 4000):
-        asks = ReconnectSchedule(random.Random(dispatchers), dispatchers)
-        first = asks.initial_delay()
-        assert max([first] + [asks.delay_after_failure() for _ in range(200)]) < 10.0 - ANSWER_S
+        schedule = ReconnectSchedule(random.Random(dispatchers), dispatchers)
+        first = schedule.initial_delay()
+        assert max([first] + [schedule.delay_after_failure() for _ in range(200)]) < 10.0 - ANSWER_S
         assert dispatchers > 3 or first < 0.3
 
 
-def test_with_more_dispatchers_each_asks_more_rarely_and_with_fewer_sooner():
+def test_the_retry_delay_grows_with_the_number_of_dispatchers():
     rests = []
     for dispatchers in (40, 2):
-        asks = ReconnectSchedule(random.Random(1), 40)
-        asks.resize(dispatchers)
-        rests.append(asks.delay_after_failure())
+        schedule = ReconnectSchedule(random.Random(1), 40)
+        schedule.resize(dispatchers)
+        rests.append(schedule.delay_after_failure())
     assert rests[1] < 0.5 < rests[0]
 
 
-def test_a_watch_that_moves_asks_at_once_however_many_there_are():
-    asks = ReconnectSchedule(random.Random(1), 40)
-    assert asks.initial_delay() > 0.0 and asks.initial_delay() == 0.0
+def test_a_moved_watch_asks_at_once():
+    schedule = ReconnectSchedule(random.Random(1), 40)
+    assert schedule.initial_delay() > 0.0 and schedule.initial_delay() == 0.0
 
 
-def test_a_route_that_goes_leaves_its_part_of_the_calls_to_the_others():
+def test_a_removed_route_leaves_its_share_of_calls_to_the_others():
     fleet = Fleet(40, [Target(name, 1, limit=20.0, kind=1) for name in "abc"], 1)
     dispatcher = fleet.dispatchers[0]
     before = dispatcher.lanes["a"].useful_rate
