--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Connections that fall silent: the decisions call off what is most likely lost while messages wait."""
+"""Calls on connections that went silent are cancelled while other messages wait."""
 
 from dispatcher_harness import SAFE, UNSAFE, DispatcherHarness
 
@@ -10,10 +10,10 @@
 
 
 def silent(cls, waits=True, overtaken=5, **changes):
-    """A bed in which message 1 went out on a connection that then fell silent, later ones were delivered by
-    the same endpoint, and, where asked, others are held. What was called off, after a while."""
+    """Sends message 1 on a connection that goes silent, delivers `overtaken` later ones through the same
+    endpoint, and with `waits` keeps others held. Returns the harness and the cancelled attempts."""
     harness = DispatcherHarness(Entry("e1", 1), slots=4, may_cancel=True, **changes)
-    for message in range(100, 130):  # what a call usually takes
+    for message in range(100, 130):  # sets the expected call time
         harness.arrive(message)
         harness.pass_ms(100, timeouts=False)
         harness.end(message, Outcome.OK)
@@ -31,7 +31,7 @@
             found += cancelled(harness)
         harness.pass_ms(100, timeouts=False)
         found += cancelled(harness)
-        for other, attempt in [told for told in harness.out if told[0] != 1] if overtaken else []:
+        for other, attempt in [pair for pair in harness.out if pair[0] != 1] if overtaken else []:
             harness.end(other, Outcome.OK, attempt)
             found += cancelled(harness)
         if (1, 0) in found and (1, 0) in harness.out:
@@ -39,27 +39,27 @@
     return harness, found
 
 
-def test_a_safe_message_on_a_silent_connection_is_called_off_and_sent_again():
+def test_a_safe_message_on_a_silent_connection_is_cancelled_and_sent_again():
     harness, found = silent(SAFE)
     assert (1, 0) in found and len(harness.where(1)) > 1
 
 
-def test_an_unsafe_one_is_failed_and_never_sent_again():
+def test_an_unsafe_message_on_a_silent_connection_fails_and_is_not_sent_again():
     harness, found = silent(UNSAFE)
     assert (1, 0) in found and harness.answers[1] == "fail" and len(harness.where(1)) == 1
 
 
-def test_it_is_waited_for_where_nobody_wants_its_slot():
+def test_the_call_is_kept_while_no_message_needs_its_slot():
     harness, found = silent(UNSAFE, waits=False)
     assert not found and 1 not in harness.answers
 
 
-def test_it_is_waited_for_where_no_later_call_was_delivered_the_endpoint_may_be_slow():
+def test_the_call_is_kept_where_no_later_call_was_delivered_since_the_endpoint_may_be_slow():
     harness, found = silent(UNSAFE, overtaken=0)
     assert not found and 1 not in harness.answers
 
 
-def test_it_is_waited_for_where_the_settings_allow_no_calling_off():
+def test_the_call_is_kept_where_the_settings_forbid_cancelling():
     harness = DispatcherHarness(Entry("e1", 1), slots=2)
     harness.arrive(1, UNSAFE)
     for message in range(2, 40):
@@ -70,7 +70,7 @@
     assert 1 not in harness.answers
 
 
-def test_an_endpoint_whose_only_call_is_most_likely_lost_gets_one_more_at_a_time():
+def test_an_endpoint_whose_only_call_is_presumed_lost_gets_one_trial_at_a_time():
     harness = DispatcherHarness(Entry("e1", 1), slots=8, may_cancel=True)
     for message in range(100, 130):
         harness.arrive(message)
