--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -1,4 +1,4 @@
-"""What the decisions do about an earlier process, and about the end of their own."""
+"""Messages and cold endpoints inherited from an earlier process, and the end of the process itself."""
 
 import pytest
 from dispatcher_harness import SAFE, UNSAFE, DispatcherHarness, Entry
@@ -23,25 +23,25 @@
     )
 
 
-def test_an_unsafe_message_that_may_have_run_fails_at_once():
+def test_an_inherited_unsafe_message_that_may_have_been_executed_fails_at_once():
     assert Fail(1) in resumed(DispatcherHarness(ONE), UNSAFE, 1, 500.0)
 
 
 @pytest.mark.parametrize(("cls", "ran_ago_ms"), [(UNSAFE, None), (SAFE, 500.0)])
-def test_what_may_be_sent_again_goes_on(cls, ran_ago_ms):
+def test_an_inherited_message_that_may_be_sent_again_is_sent(cls, ran_ago_ms):
     assert any(isinstance(action, Send) for action in resumed(DispatcherHarness(ONE), cls, 2, ran_ago_ms))
 
 
-def test_attempts_of_an_earlier_process_count():
+def test_attempts_of_an_earlier_process_count_towards_the_maximum():
     assert Fail(1) in resumed(DispatcherHarness(ONE), SAFE, 8)
 
 
-def test_a_message_whose_time_is_up_gets_its_end():
+def test_an_inherited_message_past_its_deadline_fails():
     assert Fail(1) in resumed(DispatcherHarness(ONE), SAFE, 1, left_ms=0.0)
 
 
-def test_an_endpoint_remembered_as_cold_gets_one_call_at_a_time():
-    # Guards against pushing over what returns cold after a restart in mid-outage.
+def test_an_endpoint_recorded_as_cold_gets_one_call_at_a_time():
+    # A restart during an outage must not lead to overload on recovery.
     harness = DispatcherHarness(ONE)
     harness.feed(ColdStateRestored("e1", 4.0))
     harness.arrive_together(1, 2, 3)
@@ -52,7 +52,7 @@
     assert not harness.out and RecordColdState("e1", False) in harness.arrive(4)
 
 
-def test_an_outage_is_remembered_once():
+def test_an_outage_is_recorded_once():
     harness, notes = DispatcherHarness(ONE), []
     for number in range(1, 6):
         harness.arrive(number)
@@ -61,7 +61,7 @@
     assert [(note.endpoint, note.cold) for note in notes] == [("e1", True)]
 
 
-def test_no_unsafe_message_is_sent_shortly_before_the_end():
+def test_no_unsafe_message_is_sent_shortly_before_shutdown():
     harness = DispatcherHarness(ONE)
     harness.feed(ShutdownScheduled(3000.0))
     harness.arrive(1, UNSAFE)
