--- a/tests/test_any_day.py
+++ b/tests/test_any_day.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal events: whatever comes, the rules hold as seen from outside."""
+"""Property test: the delivery rules hold for arbitrary legal events."""
 
 from dispatcher_harness import CLASSES, DispatcherHarness
 from hypothesis import given, settings
@@ -18,7 +18,7 @@
     ),
     st.tuples(st.just("withdraw"), st.integers(0, 50)),
 )
-TOLD = st.fixed_dictionaries(
+SETTINGS = st.fixed_dictionaries(
     {
         "slots": st.sampled_from([1, 4, 9]),
         "max_held": st.sampled_from([1, 5, 40]),
@@ -38,9 +38,9 @@
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
-@given(TOLD, st.lists(STEP, max_size=60))
-def test_the_rules_hold_on_any_day(told, steps):
-    harness = DispatcherHarness(*ENTRIES, **told)
+@given(SETTINGS, st.lists(STEP, max_size=60))
+def test_the_rules_hold_on_any_day(values, steps):
+    harness = DispatcherHarness(*ENTRIES, **values)
     for number, step in enumerate(steps):
         play(harness, number, step)
     harness.pass_ms(30_000)
