--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,4 +1,4 @@
-"""The module as a user of the library meets it."""
+"""The public interface of the library, including the README example."""
 
 import re
 from pathlib import Path
@@ -20,7 +20,7 @@
     Settings,
 )
 
-TOLD = {
+SETTINGS = {
     "classes": (MessageClass("note", 1000, 5000),),
     "kinds": (Kind("firm"),),
     "zones": ("a",),
@@ -41,11 +41,11 @@
 )
 def test_settings_out_of_range_name_their_key(key, value):
     with pytest.raises(ValueError, match=key):
-        Settings(**(TOLD | {key: value}))
+        Settings(**(SETTINGS | {key: value}))
 
 
-def test_wrong_use_says_what_to_do():
-    dispatcher = Dispatcher(Settings(**TOLD), seed=1)
+def test_batches_out_of_time_order_are_rejected():
+    dispatcher = Dispatcher(Settings(**SETTINGS), seed=1)
     dispatcher.handle(
         10.0, [EndpointListReceived(ListKind.FULL, 1, (Entry("one", 7),)), MessageAccepted(1, 0, 7, 5000.0)]
     )
@@ -53,9 +53,9 @@
         dispatcher.handle(9.0, [])
 
 
-def test_one_bad_event_costs_no_other_of_its_moment():
-    # Guards against decisions that believe in calls which are over.
-    dispatcher = Dispatcher(Settings(**TOLD), seed=1)
+def test_one_bad_event_does_not_drop_the_others_of_its_batch():
+    # Otherwise the dispatcher would count calls that have ended as in flight.
+    dispatcher = Dispatcher(Settings(**SETTINGS), seed=1)
     dispatcher.handle(
         10.0, [EndpointListReceived(ListKind.FULL, 1, (Entry("one", 7),)), MessageAccepted(1, 0, 7, 5000.0)]
     )
@@ -69,7 +69,7 @@
 
 def test_the_same_events_and_seed_give_the_same_actions():
     def play():
-        dispatcher = Dispatcher(Settings(**TOLD), seed=3)
+        dispatcher = Dispatcher(Settings(**SETTINGS), seed=3)
         entries = tuple(Entry(f"e{n}", 7) for n in range(4))
         done = dispatcher.handle(
             0.0, [EndpointListReceived(ListKind.FULL, 1, entries), MessageAccepted(1, 0, 7, 5000.0)]
