--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -73,11 +73,11 @@
     return benchlink.main(io.BytesIO(data), sink), sink.getvalue()
 
 
-def test_an_empty_batch_has_the_reply_that_the_wire_page_prints():
+def test_an_empty_batch_has_the_reply_of_the_protocol_page():
     assert run(bytes.fromhex("100000000000000000000000206ec040")) == (0, bytes.fromhex("0800000000000000"))
 
 
-def test_endpoints_go_there_and_back():
+def test_endpoint_addresses_round_trip():
     assert benchlink.endpoint_name(RAW) == "10.18.74.7:11203"
     assert benchlink.endpoint_bytes("10.18.74.7:11203") == RAW
 
@@ -121,13 +121,13 @@
         (frame(up(TOLD | {"quantumMs": "soon"})), "quantumMs has the wrong type: 'soon'"),
     ],
 )
-def test_bad_input_ends_in_one_plain_message(data, text, capsys):
+def test_malformed_input_ends_in_a_one_line_error(data, text, capsys):
     code, _ = run(data)
     message = capsys.readouterr().err
     assert code == 2 and text in message and message.count("\n") == 1
 
 
-def test_an_exception_in_the_decisions_becomes_the_fault_action():
+def test_an_exception_in_the_dispatcher_becomes_a_fault_record():
     link = benchlink.Link()
     link.handle_frame(frame(up(), record(1040, benchlink.REMINDER, 3, 0), now=10.0))
     reply = link.handle_frame(frame(record(1040, benchlink.REMINDER, 3, 0), now=5.0))
