--- a/crowpier/interface.py
+++ b/crowpier/interface.py
@@ -277,7 +277,7 @@
 class LearnedStateRestored:
     """The export of an earlier process (`crowpier.learned.export`); our clock is `ahead_ms` ahead of its."""
 
-    told: Mapping[str, Any]
+    state: Mapping[str, Any]
     ahead_ms: float = 0.0
 
 
--- a/crowpier/logic.py
+++ b/crowpier/logic.py
@@ -46,7 +46,7 @@
 TIMEOUT_EXPECTED_CALLS = 4.0  # time-out in expected call times, but at least the aims below
 MIN_TIMEOUT_AIMS = {Effect.SAFE: 2.0, Effect.KEYED: 1.0, Effect.UNSAFE: 8.0}  # a time-out loses an unsafe one
 STALE_CONNECTION_TIMEOUT_SHARE = 0.25  # of these aims, on an idle connection while such are known to fail
-LOST_EXPECTED_CALLS = 6.0  # after so many expected call times an overtaken call may be cancelled for others
+LOST_CALLS = 6.0  # after so many expected call times an overtaken call may be cancelled for others
 MIN_LOST_AIMS = {Effect.SAFE: 0.5, Effect.KEYED: 0.5, Effect.UNSAFE: 1.0}  # cancelling loses an unsafe one
 OVERTAKEN_CALLS = 2  # later calls delivered: the endpoint is not slow, this call's connection is dead
 SHUTDOWN_MARGIN_CALLS = 4.0  # expected call times before the process ends: no unsafe message is sent then
@@ -65,16 +65,14 @@
 RATE_WINDOW_MS = 2_000.0  # time constant of the sent rate
 DEFAULT_RATE_PER_S = 10.0  # of all dispatchers together: assumed for a lane without history
 DEFAULT_RATE_WEIGHT_MS = 2_000.0  # the default counts as so long an observation, less as more is observed
-MIN_SERVED_SPAN = 0.1  # of the window: the served rate is not measured over less
-SERVED_RATE_WINDOW_MS = 30_000.0  # time constant of the rate that a lane served us, our share of its capacity
+MIN_SERVED_AGE = 0.1  # of the window: the served rate is never measured over less
+SERVED_WINDOW_MS = 30_000.0  # time constant of the rate that a lane served us, our share of its capacity
 INITIAL_PAUSE_MS = 500.0  # after a refusal without a wait, doubled with each in a row
 JITTER = (0.75, 1.25)  # factors on our own waits, so that dispatchers do not act in step
 WAIT_MARGIN_MS = 1.0  # added to a requested wait, since clocks round
 # Circuit breaker
 STRIKES_TO_TRIP = 4  # a failure is two strikes unless listed below
-UNANSWERED_CONNECT_MS = (
-    500.0  # a connect that fails later was not refused: nobody answered, it counts in full
-)
+UNANSWERED_CONNECT_MS = 500.0  # a connect that fails later was unanswered, not refused: it counts in full
 START_CHECK_MS = 100.0  # a connection that comes up so shortly before `start_by_ms` may be left unused too
 # Less for failures that a limit or the network may have caused:
 STRIKE_WEIGHTS = {Outcome.FULL: 1.0, Outcome.CONNECT_FAILED: 1.0, Outcome.RESET: 0.5}
@@ -90,26 +88,20 @@
 OVERLOAD_URGENCY_SCALE = 8.0  # of the time that the backlog takes past the aim, under an outside allowance
 ALLOWANCE_LEAD_MS = 3_000.0  # how far a tenant may be ahead of its allowance
 SHED_THRESHOLD = 0.9  # of `max_held`: beyond this the message of least worth is shed
-RESUBSCRIBE_BACKOFF_MS = 1_000.0  # before a failed directory is asked again, doubled up to the maximum
-MAX_RESUBSCRIBE_BACKOFF_MS = 8_000.0
+RESUBSCRIBE_MS = 1_000.0  # backoff before a failed directory is asked again, doubled up to the maximum
+MAX_RESUBSCRIBE_MS = 8_000.0
 
 
-class DecayingRate:
+class EventRate:
     """An exponentially decaying rate of events per second."""
 
-    def __init__(self, window_ms: float, min_span: float = 0.0) -> None:
-        self.window_ms, self.min_span, self.count, self.at, self.since = (
-            window_ms,
-            min_span,
-            0.0,
-            0.0,
-            math.inf,
-        )
+    def __init__(self, window_ms: float, min_age: float = 0.0) -> None:
+        self.window_ms, self.min_age, self.count, self.at, self.since = window_ms, min_age, 0.0, 0.0, math.inf
 
     def per_s(self, now: float, default_per_s: float = 0.0) -> float:
         """Measured since the first event while that is shorter than the window. `default_per_s` is
         blended in, since otherwise one or two events would make up the whole rate."""
-        unobserved = math.exp(-max((now - self.since) / self.window_ms, self.min_span))
+        unobserved = math.exp(-max((now - self.since) / self.window_ms, self.min_age))
         weight = DEFAULT_RATE_WEIGHT_MS * unobserved if default_per_s else 0.0
         count = self.count * math.exp((self.at - now) / self.window_ms) + weight * default_per_s / 1000.0
         return count * 1000.0 / (self.window_ms * (1.0 - unobserved) + weight)
@@ -131,13 +123,13 @@
         self.connect_unanswered_at = -math.inf  # latest connect that timed out rather than being refused
         self.wait_until = self.next_at = -math.inf
         self.cut_at = 0.0
-        self.pace = math.inf
+        self.pace = math.inf  # learned rate limit, calls per second
         self.known_rate = 0.0  # up to this the limit grows back fast
         self.useful_rate = math.inf  # after a refusal, a higher rate would bring nothing
         self.refusals = 0
         self.sent_rate, self.served_rate = (
-            DecayingRate(RATE_WINDOW_MS),
-            DecayingRate(SERVED_RATE_WINDOW_MS, MIN_SERVED_SPAN),
+            EventRate(RATE_WINDOW_MS),
+            EventRate(SERVED_WINDOW_MS, MIN_SERVED_AGE),
         )
         self.allowed_gap = self.allowed_slack = 0.0  # outside allowance: call interval and saved-up time
         self.allowed_until = self.allowed_next = self.slots_until = -math.inf
@@ -282,9 +274,7 @@
         message.in_flight += 1
         self.pending += 1
         self.attempts.append((message, number))
-        lost = max(
-            LOST_EXPECTED_CALLS * self.expected_ms, MIN_LOST_AIMS[message.cls.effect] * message.cls.aim_ms
-        )
+        lost = max(LOST_CALLS * self.expected_ms, MIN_LOST_AIMS[message.cls.effect] * message.cls.aim_ms)
         self.lost_at = max(self.lost_at, self.sent_at + lost)
 
 
@@ -334,7 +324,7 @@
     def __init__(self) -> None:
         self.endpoints: list[Endpoint] = []
         self.held: dict[int, Message] = {}
-        self.unsent: dict[int, Message] = {}  # those held that this process accepted and nobody tried
+        self.unsent: dict[int, Message] = {}  # those held that this process accepted, never attempted
         self.calls: dict[int, Call] = {}
         self.latency_factor = 1.0  # its call time over that of the class
         self.backlog = 0.0  # ms to send what is held at the allowed rate; 0 without an allowance
@@ -444,7 +434,7 @@
         elif isinstance(event, api.Reconfigured):
             self.reconfigure(event.settings)
         elif isinstance(event, api.LearnedStateRestored):
-            learned.restore(self, dict(event.told), event.ahead_ms)
+            learned.restore(self, dict(event.state), event.ahead_ms)
 
     # New settings
 
@@ -457,9 +447,7 @@
         self.settings = settings
         held = {message.cls.name for message in self.messages.values()}
         names = held | {cls.name for cls in settings.classes}
-        self.expected_ms = {
-            name: expected_ms for name, expected_ms in self.expected_ms.items() if name in names
-        }
+        self.expected_ms = {name: ms for name, ms in self.expected_ms.items() if name in names}
         self.add_classes(settings.classes)
         self.quotas = (self.quotas + [-math.inf] * len(settings.tenants))[: len(settings.tenants)]
         for destination in self.destinations.values():
@@ -508,9 +496,7 @@
     def update_list(self, update: api.EndpointListReceived) -> None:
         if update.kind is api.ListKind.FAILED:
             # Asked again with exponential backoff and jitter, since otherwise the list goes stale.
-            backoff_ms = min(
-                RESUBSCRIBE_BACKOFF_MS * 2.0 ** min(self.list_requests, 8) / 2.0, MAX_RESUBSCRIBE_BACKOFF_MS
-            )
+            backoff_ms = min(RESUBSCRIBE_MS * 2.0 ** min(self.list_requests, 8) / 2.0, MAX_RESUBSCRIBE_MS)
             self.list_request_at = self.now + backoff_ms * self.random.uniform(*JITTER)
             return
         if update.kind is not api.ListKind.CACHED:
@@ -532,10 +518,7 @@
         for endpoint in [e for e in self.endpoints.values() if e.state is State.GONE]:
             self.remove_endpoint(endpoint)
         for key, lane in list(self.lanes.items()):
-            if (
-                not lane.endpoints
-                and max(lane.wait_until, lane.sent_rate.at + SERVED_RATE_WINDOW_MS) <= self.now
-            ):
+            if not lane.endpoints and max(lane.wait_until, lane.sent_rate.at + SERVED_WINDOW_MS) <= self.now:
                 del self.lanes[key]
         for number, destination in list(self.destinations.items()):
             if not (destination.endpoints or destination.held or destination.calls or number in self.lanes):
@@ -890,7 +873,7 @@
     def restore_cold_state(self, endpoint: Endpoint, rate: float) -> None:
         """An endpoint that was cold before a restart of this process is not treated as healthy after it."""
         served = endpoint.lane.served_rate
-        served.count, served.at, served.since = rate * SERVED_RATE_WINDOW_MS / 1000.0, self.now, -math.inf
+        served.count, served.at, served.since = rate * SERVED_WINDOW_MS / 1000.0, self.now, -math.inf
         endpoint.cold = endpoint.tripped = True
         endpoint.failed_at = self.now
         # Many dispatchers may restart together, even as the endpoint recovers: first trials are spread to the
