--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,9 +1,9 @@
 """Simulates many dispatchers in one thread on virtual time that share nothing but their destinations.
 
-The model shows the direction of a change, not its size. It has rate limits shared by all dispatchers (token
-bucket or fixed window, refused calls counted), refusals with and without a wait, outages with a cold recovery
-and overload, limits that fall and rise, and kills. It leaves out sockets, event loop turns, processor time,
-the journal, clients that retry, and batches whose messages end differently.
+The model shows the direction of a change, benchmarks show its size. It has rate limits shared by all
+dispatchers (token bucket or fixed window, refused calls counted), refusals with and without a wait, outages
+with a cold recovery and overload, limits that fall and rise, and kills. It leaves out sockets, event loop
+turns, processor time, the journal, clients that retry, and batches whose messages end differently.
 """
 
 from __future__ import annotations
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("size, least, most", ((3, 9.0, 11.0), (40, 30.0, 40.0)))
 def test_few_dispatchers_do_not_hold_messages_to_fill_batches(size, least, most):
-    # With three dispatchers, a lane must not be limited to one call per quarter of the aim.
+    # Ten calls a second of three dispatchers are few: no lane may be held to one call per quarter of the aim.
     targets = [Target(name, 1, limit=4.0 * size, kind=1) for name in "abc"]
     fleet = Fleet(size, targets, 1)
     fleet.traffic(1, 50.0 * size, 0.0, 20_000.0)
