--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter's codec: frames as the wire's page prints them, and malformed input."""
+"""The adapter's codec: frames as the protocol page prints them, and malformed input."""
 
 import io
 import json
@@ -59,8 +59,8 @@
     return benchlink.CODE.pack(code) + shape.pack(*fields)
 
 
-def up(told=None) -> bytes:
-    text = json.dumps(TOLD if told is None else told).encode()
+def up(options=None) -> bytes:
+    text = json.dumps(TOLD if options is None else options).encode()
     return record(1050, benchlink.UP, 3, 9, len(text)) + text
 
 
@@ -73,11 +73,11 @@
     return benchlink.main(io.BytesIO(data), sink), sink.getvalue()
 
 
-def test_an_empty_batch_has_the_reply_that_the_wire_page_prints():
+def test_an_empty_batch_has_the_reply_of_the_protocol_page():
     assert run(bytes.fromhex("100000000000000000000000206ec040")) == (0, bytes.fromhex("0800000000000000"))
 
 
-def test_endpoints_go_there_and_back():
+def test_endpoint_addresses_round_trip():
     assert benchlink.endpoint_name(RAW) == "10.18.74.7:11203"
     assert benchlink.endpoint_bytes("10.18.74.7:11203") == RAW
 
@@ -94,20 +94,20 @@
 def test_tables_are_read_in_the_order_of_events():
     link = benchlink.Link()
     other = record(1060, benchlink.INVENTORY, 0, 0)
-    link.answer(frame(up(), inventory(), record(1070, benchlink.SYNC, 3, 0, 2, 1), other))
+    link.handle_frame(frame(up(), inventory(), record(1070, benchlink.SYNC, 3, 0, 2, 1), other))
     assert list(link.dispatchers[3].endpoints) == ["10.18.74.7:11203"]
-    assert link.tables[0] == ()
+    assert link.inventories[0] == ()
 
 
 def test_an_instance_that_stopped_does_nothing_more():
     link = benchlink.Link()
-    link.answer(frame(up()))
-    reply = link.answer(frame(record(1040, benchlink.REMINDER, 3, 0), record(1090, benchlink.STOP, 3)))
+    link.handle_frame(frame(up()))
+    reply = link.handle_frame(frame(record(1040, benchlink.REMINDER, 3, 0), record(1090, benchlink.STOP, 3)))
     assert reply == bytes.fromhex("0800000000000000") and not link.dispatchers
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "text"),
     [
         (b"\x10\x00", "bad frame length"),
         (b"\x30\x00\x00\x00" + bytes(12), "frame cut off"),
@@ -118,17 +118,17 @@
         (frame(up({k: v for k, v in TOLD.items() if k != "kinds"})), "kinds is missing"),
         (frame(up(TOLD | {"tenants": 3})), "instance 3"),
         (frame(up(TOLD | {"balancers": 0})), "dispatchers must be a number"),
-        (frame(up(TOLD | {"quantumMs": "soon"})), "quantumMs has the nonsensical value"),
+        (frame(up(TOLD | {"quantumMs": "soon"})), "quantumMs has the wrong type: 'soon'"),
     ],
 )
-def test_bad_input_ends_in_one_plain_message(data, says, capsys):
+def test_malformed_input_ends_in_a_one_line_error(data, text, capsys):
     code, _ = run(data)
-    said = capsys.readouterr().err
-    assert code == 2 and says in said and said.count("\n") == 1
+    message = capsys.readouterr().err
+    assert code == 2 and text in message and message.count("\n") == 1
 
 
-def test_an_exception_in_the_decisions_becomes_the_fault_action():
+def test_an_exception_in_the_dispatcher_becomes_a_fault_record():
     link = benchlink.Link()
-    link.answer(frame(up(), record(1040, benchlink.REMINDER, 3, 0), now=10.0))
-    reply = link.answer(frame(record(1040, benchlink.REMINDER, 3, 0), now=5.0))
+    link.handle_frame(frame(up(), record(1040, benchlink.REMINDER, 3, 0), now=10.0))
+    reply = link.handle_frame(frame(record(1040, benchlink.REMINDER, 3, 0), now=5.0))
     assert b"time runs backwards" in reply and reply[8:10] == benchlink.CODE.pack(1010)
