--- a/rushhitch/acceptor.py
+++ b/rushhitch/acceptor.py
@@ -1,4 +1,4 @@
-"""The seam between the fronts and the core: what a front hands in, and what it hears back. No I/O."""
+"""The interface between the fronts and the core: submissions, replies, acknowledgements. No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A message that a client hands in."""
+    """A message as a client submits it; `left_ms` is the time until its deadline."""
 
     id: bytes
     cls: str
@@ -22,18 +22,19 @@
     body: bytes
     key: int = 0
     again: bool = False
-    attributes: bytes = b""  # of an event, as a JSON object: they go on with it
-    remember: bool = False  # the id names this message for good: past its end too, it is not a new one
-    tenant: str = ""  # whose allowance it counts against
-    idempotency: bytes = b""  # the key by which its endpoint knows a repeat: goes on with it unchanged
+    attributes: bytes = b""  # of an event, as a JSON object; forwarded with it
+    remember: bool = False  # the id stays taken after the end: a resubmission is a duplicate
+    tenant: str = ""  # whose rate allowance it uses
+    idempotency: bytes = b""  # by which its endpoint detects a duplicate; forwarded unchanged
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What became of an offer, and later of the message. `status` is "taken"; "delivered"; "refused", which
-    never ran and may come again after `wait_ms` milliseconds (0: none is told); or "failed", which may have
-    run. Of an acknowledgement it is "acknowledged"; "late", where the message was told as failed before;
-    "differs", where its end was another; "unknown", where there is no such message; or "refused"."""
+    """The result of a submission, and later of the message. `status` is "taken" (accepted); "delivered";
+    "refused": it never ran, and may be resubmitted after `wait_ms` milliseconds (0: unspecified); or
+    "failed": it may have run. For an acknowledgement it is "acknowledged"; "late": the message was reported
+    as failed before; "differs": it ended in another way; "unknown": there is no such message; or
+    "refused"."""
 
     status: str
     wait_ms: float = 0.0
@@ -42,34 +43,32 @@
 ACCEPTED, DELIVERED, FAILED = Reply("taken"), Reply("delivered"), Reply("failed")
 ReplyCallback = Callable[
     [Reply], object
-]  # gives False where "taken" did not reach the system whole in this step
-ReachabilityCheck = Callable[[], bool]  # whether an answer given now reaches the system in the same step
-ClientCheck = Callable[
-    [], None
-]  # has `Acceptor.abandon` called, in this step, where the client is gone by now
+]  # returns False if "taken" was not written to the socket in full in this step
+ReachabilityCheck = Callable[[], bool]  # whether a reply given now is written to the socket in the same step
+ClientCheck = Callable[[], None]  # calls `Acceptor.abandon` synchronously if the client has disconnected
 
 
 def always_reachable() -> bool:
-    """For clients that learn of an acceptance by other means than one answer on one connection."""
+    """For clients that can learn of the acceptance by other means than this reply."""
     return True
 
 
 def no_client_check() -> None:
-    """For clients whose message is the same one when they hand it in again."""
+    """For clients whose resubmission is recognised as the same message."""
 
 
 class Verdict(Enum):
-    """What an acknowledgement says of the message."""
+    """The outcome that an acknowledgement reports."""
 
     DELIVERED = "delivered"
-    RAN = "ran"  # it failed, and may have had its effect
-    NOT_RUN = "not-run"  # it had no effect, so it may be sent again
+    RAN = "ran"  # it failed, and may have taken effect
+    NOT_RUN = "not-run"  # it had no effect, so it may be retried
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """One that came in. `message` is the id by which the core knows the message, `mark` is the same for the
-    same acknowledgement sent again."""
+    """A partner's later report on a message. `message` is the core's id of the message; `mark` identifies the
+    acknowledgement, so that a duplicate is recognised."""
 
     destination: int
     message: bytes
@@ -78,15 +77,15 @@
 
 
 class BadRequest(ValueError):
-    """The request makes no sense; the text says what is wrong."""
+    """The request is invalid; the text, which the client is sent, says why."""
 
 
 class Pending(BadRequest):
-    """A message of that id is being taken on just now: to come again soon is harmless."""
+    """A message with this id is being accepted at this moment; the client may retry soon."""
 
 
 class Acceptor(Protocol):
-    """Who decides on what clients hand in: the core."""
+    """Decides on submissions. Implemented by the core, called by the fronts."""
 
     def offer(
         self,
@@ -96,23 +95,24 @@
         reachable: ReachabilityCheck = always_reachable,
         check_client: ClientCheck = no_client_check,
     ) -> int:
-        """Take the offer; `answer` is called once, soon, with "taken", "refused" or "failed". An offer whose
-        client is not `reachable` as it would be taken is refused, and nothing is done for it. After "taken",
-        `check_client` is called in the step of each call's last byte, before that byte, and
-        `ended` is called once, with the message's end, if this process sees it. An offer with the id of a
-        message that is held is that message; one that is remembered past its end is answered with that end.
-        Gives a handle, 0 where there is nothing to withdraw; raises `BadRequest`, and then neither is
-        called."""
+        """Submit a message. `answer` is called once, soon, with "taken", "refused" or "failed". If the client
+        is not `reachable` when the message would be accepted, the message is refused and nothing is sent.
+        After "taken", `check_client` is called right before the last byte of each call is written, and
+        `ended` is called once with the message's end, if this process sees it. A submission with the id of an
+        open message is a duplicate of it; with a remembered id it is answered with the end of that message.
+        Returns a handle for `withdraw`, or 0 if there is nothing to withdraw. Raises `BadRequest`, in which
+        case neither callback is called."""
 
-    def acknowledge(self, told: Acknowledgement, answer: ReplyCallback) -> None:
-        """A partner's word on a message that it answered before. `answer` is called once, soon."""
+    def acknowledge(self, acknowledgement: Acknowledgement, answer: ReplyCallback) -> None:
+        """Process a partner's acknowledgement of an earlier call. `answer` is called once, soon."""
 
     def withdraw(self, handle: int) -> None:
-        """The client has gone without its answer. A message whose offer was answered stays."""
+        """Drop a submission whose client has gone unanswered. No effect once it was answered."""
 
     def set_client_check(self, handle: int, check_client: ClientCheck) -> None:
-        """From now on that is called before each last byte: the client's connection was passed on."""
+        """Replace the check of a message whose client connection was taken over from another process."""
 
     def abandon(self, handle: int, why: str) -> None:
-        """The client has gone, and may not have heard that its message is taken. No further call is begun:
-        the message ends by the outcome of the one that is out, or by a notice. `why` goes to the log."""
+        """Stop sending a message whose client has gone and may not have received the acceptance. No further
+        call starts: the message ends with the outcome of the call in flight, or with a notice. `why` is
+        logged."""
