--- a/rushhitch/core/__init__.py
+++ b/rushhitch/core/__init__.py
@@ -1,1 +1,1 @@
-"""One dispatcher's turn: events in, actions out, ids, ends."""
+"""The core of a dispatcher: feeds events to the decision module, carries out its actions, ends messages."""
--- a/rushhitch/core/lifecycle.py
+++ b/rushhitch/core/lifecycle.py
@@ -1,18 +1,17 @@
-"""The life of a request, and the one place that decides whether something may still be done for it.
+"""The state machine of a request: the only place that decides whether an effect on it is still allowed.
 
-A decision is made at one moment and takes effect at a later one: by then the request may have ended. So every
-effect asks here, in the same step as its system call, and is dropped where the answer is no. The invariants:
+An effect is decided at one moment and carried out later, when the request may have ended. Each effect
+therefore asks here in the same event-loop step as its system call, and is dropped if refused. Invariants:
 
-- nothing of a request leaves the process, and nothing is repeated, unless its client was told that it is
-  accepted and its end has not been given;
-- a request is abandoned where its client was lost before it can be known to have heard that, or where a
-  partner says that it is over: what is out comes to its end, nothing more is sent, and its end is given;
-- it is recorded before its client is answered, it is answered at most once, and ends at most once;
-- the platform is told of an end only after that end;
-- a process that quiesces sends nothing more, and one that has relinquished its folder does nothing more.
+- a request is sent or retried only after its client was told that it is accepted, and before its end;
+- a request is abandoned if its client disconnected before it can be known to have received the acceptance, or
+  if a partner's answer is final: calls in flight run to their end, no further call starts, its end is given;
+- it is recorded before its client is answered, answered at most once, and ends at most once;
+- the platform is notified of an end only after that end;
+- a quiescing process sends nothing more; one that has relinquished its folder does nothing more.
 
-A refusal is normal where two sides race (a message ends while its call is being written); each is counted and
-reported, by effect and stage. No I/O, no clock.
+Refusals are normal where two sides race (a message ends while its call is being written). Each is counted and
+reported by effect, stage and phase. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -25,39 +24,39 @@
 
 
 class Stage(IntEnum):
-    """How far a request has come."""
+    """The state of a request. Names are logged in lower case."""
 
-    RECEIVED = 0  # read whole; its client waits, and no file tells of it
-    RECORDED = 1  # the journal tells of it, not of its acceptance: its client still waits
-    ANSWERING = 2  # its client is told in this step; a process that starts later finds it in doubt
-    ACCEPTED = 3  # the whole of that answer is in the system's hands: its end is owed
-    ABANDONED = 4  # likewise, but no call is begun: its client may not know of it, or a partner ends it
+    RECEIVED = 0  # read in full; its client waits, and it is not in the journal
+    RECORDED = 1  # in the journal, but not accepted: its client still waits
+    ANSWERING = 2  # the acceptance is being written; after a crash here it is in doubt
+    ACCEPTED = 3  # the acceptance was passed to the operating system in full: an end is owed
+    ABANDONED = 4  # as accepted, but no call starts: client lost, or final answer of a partner
     ENDED = 5  # delivered, or answered or notified as refused or failed
-    WITHDRAWN = 6  # its client went without an answer: nothing is owed
+    WITHDRAWN = 6  # its client disconnected unanswered: nothing is owed
 
 
 class Effect(IntEnum):
-    """What may be done for a request."""
+    """What can be done for a request. Names are logged in lower case."""
 
-    RECORD = 0  # write it to the journal, not accepted yet
-    ANSWER = 1  # begin to tell its client that it is accepted
-    ACCEPT = 2  # that answer has been written whole
-    REJECT = 3  # answer its client that it is refused or has failed
-    WITHDRAW = 4  # drop it, since its client cannot be answered
-    SEND = 5  # write the last byte of a call with it
-    DELIVER = 6  # end it by a partner's word
-    EXPIRE = 7  # end it by a notice that it is refused or has failed
-    NOTIFY = 8  # tell the platform of that end
-    ABANDON = 9  # begin no further call for it
+    RECORD = 0  # write it to the journal as not yet accepted
+    ANSWER = 1  # start writing the acceptance to its client
+    ACCEPT = 2  # the acceptance has been written in full
+    REJECT = 3  # answer its client that it is refused or failed
+    WITHDRAW = 4  # drop it: its client cannot be answered
+    SEND = 5  # write the last byte of a call that contains it
+    DELIVER = 6  # end it by a partner's answer or acknowledgement
+    EXPIRE = 7  # end it with a notice that it is refused or failed
+    NOTIFY = 8  # notify the platform of that end
+    ABANDON = 9  # start no further call for it
 
 
 class Phase(IntEnum):
-    """What the process as a whole may still do."""
+    """What the process as a whole may still do. Names are logged in lower case."""
 
     SERVING = 0
-    QUIESCING = 1  # nothing new is sent; what comes in is still accepted
-    CLOSED = 2  # nothing new is accepted either; what was read before is still answered
-    RELINQUISHED = 3  # another process owns every request
+    QUIESCING = 1  # no call starts; new requests are still accepted
+    CLOSED = 2  # new requests are refused; those read before are still answered
+    RELINQUISHED = 3  # another process owns all requests
 
 
 TRANSITIONS: dict[tuple[Stage, Effect], Stage] = {
@@ -77,25 +76,25 @@
     (Stage.ABANDONED, Effect.EXPIRE): Stage.ENDED,
     (Stage.ENDED, Effect.NOTIFY): Stage.ENDED,
 }
-ENDS_WITH = {  # the last phase in which an effect may happen; the others may up to `CLOSED`
+ENDS_WITH = {  # the last phase that allows an effect; all others are allowed up to `CLOSED`
     Effect.SEND: Phase.SERVING,
 }
 
 
 class Request(Protocol):
-    """What a lifecycle knows of a request."""
+    """The part of a request that `Lifecycle` uses."""
 
     number: int
     stage: Stage
 
     @property
     def id(self) -> bytes:
-        """As its client calls it."""
+        """The id that its client gave it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """An effect that was refused: whose, and at which stage of the request and phase of the process."""
+    """A refused effect: the request, its stage, and the phase of the process."""
 
     request: int
     id: bytes
@@ -105,8 +104,8 @@
 
 
 class Lifecycle:
-    """Decides on the effects of all requests of a process. `report` hears of each refusal, `trace` of each
-    step of a request, with the effect and the stage that follows."""
+    """Decides on the effects of all requests of a process. `report` is called for each refusal, `trace` for
+    each transition, after the request has its new stage."""
 
     def __init__(
         self,
@@ -118,15 +117,15 @@
         self.refused: Counter[tuple[Effect, Stage, Phase]] = Counter()
 
     def enter(self, phase: Phase) -> None:
-        """The process goes on to a later phase; it never goes back."""
+        """Move to a later phase; earlier phases are ignored."""
         self.phase = max(self.phase, phase)
 
     def accepting(self) -> bool:
-        """Whether a request that is read now may be taken in."""
+        """Whether new requests are admitted."""
         return self.phase < Phase.CLOSED
 
     def permits(self, request: Request, effect: Effect) -> bool:
-        """Whether this may be done for the request now. A refusal is counted and reported."""
+        """Whether the effect is allowed now. A refusal is counted and reported."""
         if self.phase <= ENDS_WITH.get(effect, Phase.CLOSED) and (request.stage, effect) in TRANSITIONS:
             return True
         self.refused[effect, request.stage, self.phase] += 1
@@ -134,7 +133,7 @@
         return False
 
     def advance(self, request: Request, effect: Effect) -> bool:
-        """The same, and the request goes on to the stage that follows."""
+        """As `permits`, and if allowed moves the request to its next stage."""
         if not self.permits(request, effect):
             return False
         request.stage = TRANSITIONS[request.stage, effect]
@@ -143,7 +142,7 @@
         return True
 
     def counts(self) -> dict[str, int]:
-        """The refusals so far, by effect, stage and phase in words."""
+        """The number of refusals by "effect/stage/phase", for INFO."""
         return {
             f"{effect.name}/{stage.name}/{phase.name}".lower(): count
             for (effect, stage, phase), count in sorted(self.refused.items())
