--- a/rushhitch/core/acknowledgements.py
+++ b/rushhitch/core/acknowledgements.py
@@ -1,8 +1,8 @@
-"""Acknowledgements that come later than the answer to a call: what each one does. No I/O, no clock.
+"""The effect of acknowledgements that arrive after the answer to a call. No I/O, no clock.
 
-A partner may answer 202 and say later, by an event of its own, whether it did what it was asked. Until then
-the attempt is out and may have run. Guards against acknowledgements that are repeated, late, contradictory,
-or meant for nobody: each has one answer, and none makes a message run twice or end twice.
+A partner may answer 202 and report later, by an event of its own, whether it processed the message. Until
+then the attempt is open and may have run. An acknowledgement may be duplicated, late, contradictory or for an
+unknown message: each gets exactly one answer, and none may make a message run twice or end twice.
 """
 
 from __future__ import annotations
@@ -12,35 +12,40 @@
 
 from rushhitch.acceptor import Acknowledgement, Reply, Verdict
 
-MOST = 10_000  # ends that are remembered for acknowledgements that still come: 2 MB
+MAX_ENDS = 10_000  # ends kept for acknowledgements that may still arrive: 2 MB
 
 
 class Effect(Enum):
-    """What to do with one for a message that is held."""
+    """What an acknowledgement of an open message does."""
 
-    DELIVER = "it is over"
-    RETRY = "its attempt has this outcome: the decision module says what comes next"
-    AWAIT = "its call is still out, and has this outcome once it ends"
-    NOTHING = "it tells nothing new"
-    LATER = "two attempts are out: which one is meant shows when one has ended"
-    UNKNOWN = "nothing was sent"
+    DELIVER = "end the message as delivered"
+    RETRY = "end the attempt with this outcome; the decision module decides what follows"
+    AWAIT = "keep the verdict as the outcome of the call in flight until that call ends"
+    NOTHING = "none: a duplicate, or nothing is pending"
+    LATER = "ask the partner to repeat it: with two attempts in flight its target is ambiguous"
+    UNKNOWN = "reject it: the message was never sent"
 
 
 ACKNOWLEDGED, LATE, DIFFERS, UNKNOWN = map(Reply, ("acknowledged", "late", "differs", "unknown"))
-MEANS = {"delivered": Verdict.DELIVERED, "failed": Verdict.RAN, "refused": Verdict.NOT_RUN}
+VERDICT_BY_END = {"delivered": Verdict.DELIVERED, "failed": Verdict.RAN, "refused": Verdict.NOT_RUN}
 
 
 def effect(
-    told: Acknowledgement, marks: list[bytes], attempts: int, out: int, handed: bool, heard: bool = False
+    acknowledgement: Acknowledgement,
+    marks: list[bytes],
+    attempts: int,
+    out: int,
+    handed: bool,
+    heard: bool = False,
 ) -> Effect:
-    """What it does to a message with so many `attempts`, of which `out` are in calls; `handed`: the last one
-    was answered with 202, and nothing was heard since; `heard`: one has come for the call that is out.
-    `marks` are those that were heard before."""
-    if told.mark in marks:
+    """The effect on a message with `attempts` attempts so far, `out` of them in flight. `marks` are those of
+    earlier acknowledgements. `handed`: the last attempt was answered with 202 and still lacks its
+    acknowledgement. `heard`: the call in flight already has a verdict."""
+    if acknowledgement.mark in marks:
         return Effect.NOTHING
     if not attempts:
         return Effect.UNKNOWN
-    if told.verdict is Verdict.DELIVERED:  # also of an attempt whose connection broke
+    if acknowledgement.verdict is Verdict.DELIVERED:  # also for an attempt whose connection broke
         return Effect.DELIVER
     if handed:
         return Effect.RETRY
@@ -50,9 +55,9 @@
 
 
 class EndHistory:
-    """How messages ended that an acknowledgement may still come for. Times are Unix time in seconds."""
+    """Ends of messages that may still be acknowledged, oldest first. Times are Unix time in seconds."""
 
-    def __init__(self, most: int = MOST) -> None:
+    def __init__(self, most: int = MAX_ENDS) -> None:
         self.most = most
         self.ends: OrderedDict[bytes, tuple[str, float]] = OrderedDict()
 
@@ -62,12 +67,12 @@
         while len(self.ends) > self.most:
             self.ends.popitem(last=False)
 
-    def answer(self, told: Acknowledgement, now: float) -> Reply:
-        """What one for a message hears that is over, or that nobody knows."""
-        end, until = self.ends.get(told.message, ("", 0.0))
+    def answer(self, acknowledgement: Acknowledgement, now: float) -> Reply:
+        """The reply to an acknowledgement of a message that has ended or is unknown."""
+        end, until = self.ends.get(acknowledgement.message, ("", 0.0))
         if now >= until:
-            self.ends.pop(told.message, None)
+            self.ends.pop(acknowledgement.message, None)
             return UNKNOWN
-        if MEANS.get(end) is told.verdict:
+        if VERDICT_BY_END.get(end) is acknowledgement.verdict:
             return ACKNOWLEDGED
         return LATE if end == "failed" else DIFFERS
