--- a/rushhitch/core/recent_ends.py
+++ b/rushhitch/core/recent_ends.py
@@ -1,7 +1,7 @@
-"""Ends of messages whose clients may send them once more under the same id. No I/O, no clock.
+"""Recent ends of messages, to recognise resubmissions under the same id. No I/O, no clock.
 
-A client whose connection breaks under its request sends it once more on a new one. Where the first one was
-read, accepted and ended meanwhile, the second must not be a new message: its end has been told.
+A client whose connection breaks during its request resubmits on a new connection. If the first request was
+read, accepted and ended meanwhile, the second must not become a new message: an end was already reported.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 
 from rushhitch.acceptor import Reply
 
-KEEP_S = 2.0  # a client that sends once more does so at once, and waits 0.4 s for its answer
+RETENTION_S = 2.0  # clients resubmit at once, and wait 0.4 s for their answer
 
 
 @dataclass(frozen=True, slots=True)
 class RecentEnd:
-    """How a message ended, and until when that is the answer to its id, in seconds."""
+    """The end of a message, which answers its id `until` that time in seconds."""
 
     reply: Reply
     until: float
 
 
 class RecentEnds:
-    """The newest ends, by id of the message."""
+    """Ends of the last `RETENTION_S` seconds by message id, oldest first."""
 
     def __init__(self) -> None:
         self.ends: OrderedDict[bytes, RecentEnd] = OrderedDict()
@@ -31,10 +31,10 @@
     def add(self, name: bytes, reply: Reply, now: float) -> None:
         self.forget(now)
         self.ends.pop(name, None)
-        self.ends[name] = RecentEnd(reply, now + KEEP_S)
+        self.ends[name] = RecentEnd(reply, now + RETENTION_S)
 
     def get(self, name: bytes, now: float) -> Reply | None:
-        """How that message ended a moment ago; None where it did not."""
+        """The end of that message if it is recent, else None."""
         end = self.ends.get(name)
         return end.reply if end is not None and now < end.until else None
 
