--- a/rushhitch/core/endpoint_registry.py
+++ b/rushhitch/core/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Which endpoints there are: the directory's list, as the decisions and the connections are told of it."""
+"""The listed endpoints: applies updates from discovery and passes them to decisions and endpoint pool."""
 
 from __future__ import annotations
 
@@ -19,23 +19,25 @@
 
 log = logging.getLogger(__name__)
 
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
-LINGER_S = 60.0  # a destination with no endpoint left is known for so long: its next one may be on the way
-SINGLY = ", one message a call"  # after a kind's name
+STATE_BY_NAME = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+DESTINATION_RETENTION_S = (
+    60.0  # a destination without endpoints stays known this long: its next may be about to come
+)
+UNBATCHED_SUFFIX = ", one message a call"  # suffix of a kind's name
 
 
 def with_unbatched_kinds(settings: Settings) -> Settings:
-    """The settings, and a kind beside each that takes batches, for endpoints of it whose protocol has none.
-    Guards against the decisions taking several calls for one."""
+    """The settings with an unbatched variant of each kind that takes batches, for endpoints whose protocol
+    has no batches. Otherwise the decision module would count several calls as one."""
     singles = tuple(
-        replace(kind, name=kind.name + SINGLY, batch=1) for kind in settings.kinds if kind.batch > 1
+        replace(kind, name=kind.name + UNBATCHED_SUFFIX, batch=1) for kind in settings.kinds if kind.batch > 1
     )
     return replace(settings, kinds=settings.kinds + singles)
 
 
 class EndpointRegistry:
-    """The endpoints, in the order of the list. `codecs` are by destination: the others speak the platform's
-    protocol. Kinds and zones are those of the settings at the start: they change with a restart."""
+    """The endpoints in the order of the list. `codecs` is by destination; all others use the platform's
+    protocol. Kinds and zones are those of the settings at the start; they change only with a restart."""
 
     def __init__(
         self,
@@ -53,14 +55,17 @@
         self.kinds = {kind.name: position for position, kind in enumerate(settings.kinds)}
         self.zones = {zone: position for position, zone in enumerate(settings.zones)}
         self.entries: dict[str, api.Entry] = {}
-        self.destinations: dict[int, float] = {}  # and when each last had an endpoint
-        self.servers: dict[str, dict[str, Any]] = {}  # its endpoints, in discovery's form
-        self.left: dict[str, float] = {}  # endpoints that are no longer listed, and since when
-        self.gate: Gate | None = None  # where partners must agree to be sent anything
-        self.rows: dict[str, dict[str, Any]] = {}  # of endpoints that it covers, as they are listed
+        self.destinations: dict[int, float] = {}  # with the loop time when each last had an endpoint
+        self.servers: dict[str, dict[str, Any]] = {}  # listed endpoints in the format of discovery
+        self.recently_removed: dict[
+            str, float
+        ] = {}  # endpoints no longer listed, with the loop time of removal
+        self.gate: Gate | None = None  # set if partners must agree before they are sent anything
+        self.rows: dict[str, dict[str, Any]] = {}  # listed rows of the endpoints that the gate covers
 
     def apply_update(self, news: dict[str, Any], cached: bool = False) -> None:
-        """A list or its changes, in discovery's form; an entry that makes no sense is left out."""
+        """Apply a full list or a delta in the format of discovery. Invalid entries are skipped; an endpoint
+        that is already known stays known. `cached` marks the list kept from an earlier process."""
         full = bool(news.get("full"))
         kind = api.ListKind.CACHED if cached else api.ListKind.FULL if full else api.ListKind.DELTA
         entries = []
@@ -69,7 +74,7 @@
                 entries.append(self.entry(row))
             except (KeyError, TypeError, ValueError, AttributeError) as error:
                 log.warning("list: an entry is left out: %s: %s: %r", type(error).__name__, error, row)
-                entries += self.named(row)
+                entries += self.entry_of_invalid_row(row)
         gone = {entry.endpoint for entry in entries if entry.state is State.GONE}
         if kind is not api.ListKind.DELTA:
             gone |= self.entries.keys() - {entry.endpoint for entry in entries}
@@ -77,30 +82,32 @@
         for name in gone:
             self.servers.pop(name, None)
             if self.entries.pop(name, None) is not None:
-                self.left[name] = now
-            self.endpoints.bar(name)
+                self.recently_removed[name] = now
+            self.endpoints.remove_endpoint(name)
             if self.rows.pop(name, None) is not None and self.gate is not None:
                 self.gate.remove(name)
             if self.limits.counts is not None:
                 self.limits.counts.remove(name)
-        if kind is not api.ListKind.CACHED:  # what was known at the start may be old
+        if kind is not api.ListKind.CACHED:  # the cached list may be outdated
             for name in [name for name in self.journal.cold if name not in self.entries]:
                 self.journal.record_warm(name)
-        self.left = {name: at for name, at in self.left.items() if now - at <= LINGER_S}
+        self.recently_removed = {
+            name: at for name, at in self.recently_removed.items() if now - at <= DESTINATION_RETENTION_S
+        }
         self.destinations |= dict.fromkeys((entry.destination for entry in self.entries.values()), now)
-        for destination in [d for d, at in self.destinations.items() if now - at > LINGER_S]:
+        for destination in [d for d, at in self.destinations.items() if now - at > DESTINATION_RETENTION_S]:
             del self.destinations[destination]
         self.note(api.EndpointListReceived(kind, int(news.get("version", 0)), tuple(entries)))
 
     def entry(self, row: dict[str, Any]) -> api.Entry:
-        state, known = STATES[row["state"]], self.entries.get(row["id"])
-        if state is State.GONE:  # nothing else of it need be told
+        state, known = STATE_BY_NAME[row["state"]], self.entries.get(row["id"])
+        if state is State.GONE:  # such a row needs no other field
             return replace(known, state=state) if known else api.Entry(str(row["id"]), 0, state=state)
         destination = int(row["cell"])
         codec = self.codecs.get(destination, PLATFORM)
         kind_of = self.kinds[row["kind"]]
         if codec.batch(int(self.all_kinds[kind_of].batch)) == 1:
-            kind_of = self.kinds.get(row["kind"] + SINGLY, kind_of)
+            kind_of = self.kinds.get(row["kind"] + UNBATCHED_SUFFIX, kind_of)
         entry = api.Entry(
             str(row["id"]),
             destination,
@@ -116,37 +123,37 @@
                 entry = replace(entry, state=State.DRAINING)
         kind = self.all_kinds[entry.kind]
         lane = self.lane_of(entry)
-        place = EndpointEntry(parse_address(row["addr"]), lane, int(kind.batch), entry.state, codec)
-        self.endpoints.place(entry.endpoint, place)
+        pool_entry = EndpointEntry(parse_address(row["addr"]), lane, int(kind.batch), entry.state, codec)
+        self.endpoints.set_endpoint(entry.endpoint, pool_entry)
         self.entries[entry.endpoint], self.servers[entry.endpoint] = entry, row
         if self.limits.counts is not None:
             self.limits.counts.place(entry.endpoint, entry.destination, kind.apart)
         return entry
 
-    def named(self, row: Any) -> list[api.Entry]:
-        """What holds of an endpoint whose entry makes no sense: that it is listed, as it was known, and not
-        gone; that it drains or is gone where its state can be read. Nothing of one that was not known."""
+    def entry_of_invalid_row(self, row: Any) -> list[api.Entry]:
+        """The entry of a known endpoint whose new row is invalid: as before, but draining or gone if the row
+        has a readable state that says so. Empty for an unknown endpoint."""
         name = row.get("id") if isinstance(row, dict) else None
         if not isinstance(name, str) or (known := self.entries.get(name)) is None:
             return []
         state = row.get("state")
-        told = STATES.get(state, State.READY) if isinstance(state, str) else State.READY
-        if told is State.READY:  # no reason to take back a drain either
+        new_state = STATE_BY_NAME.get(state, State.READY) if isinstance(state, str) else State.READY
+        if new_state is State.READY:  # an unreadable state does not end a drain either
             return [known]
-        if told is State.DRAINING:
-            known = self.entries[name] = replace(known, state=told)
+        if new_state is State.DRAINING:
+            known = self.entries[name] = replace(known, state=new_state)
             self.endpoints.drain(name)
-        return [replace(known, state=told)]
+        return [replace(known, state=new_state)]
 
     def lane_of(self, entry: api.Entry) -> int | str:
-        """What the decision module calls the endpoint's lane."""
+        """The decision module's key for the lane of the endpoint."""
         return entry.endpoint if self.all_kinds[entry.kind].apart else entry.destination
 
     def reapply_gate(self, endpoint: str) -> None:
-        """The gate has changed its mind on the endpoint."""
+        """Called when the gate opens or closes for the endpoint."""
         if (row := self.rows.get(endpoint)) is not None:
             self.apply_update({"full": False, "servers": [row]})
 
     def gated_lanes(self) -> dict[str, int | str]:
-        """The lanes of the endpoints that the gate covers."""
+        """The lane of each endpoint that the gate covers."""
         return {name: self.lane_of(self.entries[name]) for name in self.rows if name in self.entries}
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -706,7 +706,7 @@
             case api.Probe(endpoint):
                 self.endpoints.probe(endpoint, self.probe_ended)
             case api.CloseIdleConnections(endpoint):
-                self.endpoints.hang_up(endpoint)
+                self.endpoints.close_idle(endpoint)
             case api.RecordColdState(endpoint, cold, pace_per_s):
                 if cold:
                     self.journal.record_cold(endpoint, pace_per_s)
--- a/rushhitch/core/operator_commands.py
+++ b/rushhitch/core/operator_commands.py
@@ -1,4 +1,4 @@
-"""What operators ask of a running dispatcher: to take an endpoint out, to give it back, and its figures."""
+"""Commands of operators to a running dispatcher: detach and attach an endpoint, INFO."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 
 class OperatorCommands:
-    """Their words, carried out at one node."""
+    """Carries out the commands on one node."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
 
     def detach(self, endpoint: str) -> None:
-        """Take the endpoint out; raises `CommandRefused` and changes nothing where that cannot be kept. When it
-        returns, no call can start there: the module hears of it in this turn, the sockets know it now."""
+        """Ban the endpoint. Raises `CommandRefused` and changes nothing if the ban cannot be stored. Afterwards
+        no call can start there: the pool blocks it at once, and the decision module hears of it in this turn."""
         self.change_bans(endpoint, lambda bans: bans.add(endpoint))
         self.node.endpoints.ban(endpoint)
         self.node.note(api.Detached(endpoint))
-        log.info("endpoint %s is taken out by operators", endpoint)
+        log.info("endpoint %s detached by an operator", endpoint)
 
     def attach(self, endpoint: str) -> None:
-        """The endpoint may serve again; one that is not out stays as it is."""
+        """Lift the ban on the endpoint; no effect if it is not banned. Raises as `detach`."""
         self.change_bans(endpoint, lambda bans: bans.remove(endpoint))
         if endpoint not in self.node.endpoints.banned:
             return
         self.node.endpoints.unban(endpoint)
         self.node.note(api.Attached(endpoint))
-        log.info("endpoint %s is given back by operators", endpoint)
+        log.info("endpoint %s attached by an operator", endpoint)
 
     def change_bans(self, endpoint: str, change: Callable[[DetachedEndpoints], None]) -> None:
         bans, registry = self.node.bans, self.node.registry
-        assert bans is not None, "there is no control address"
-        if not any(endpoint in known for known in (registry.entries, registry.left, bans.ids)):
+        assert bans is not None, "commands need a control address, and with it a list of bans"
+        if not any(endpoint in known for known in (registry.entries, registry.recently_removed, bans.ids)):
             raise CommandRefused(f"no endpoint is called {endpoint}: INFO tells how many there are")
         try:
             change(bans)
@@ -48,10 +48,10 @@
             raise CommandRefused(f"the ban, or its end, cannot be kept: {error}") from None
 
     def info(self) -> dict[str, Any]:
-        """The figures as of now; what was handed over is told by the process that has it."""
+        """The current metrics. Requests that were handed over are reported by the process that owns them."""
         node = self.node
         held = 0 if node.relinquished else len(node.by_id)
         known = len(node.registry.entries), node.dispatcher.count_unavailable()
-        told = node.metrics.report(node.endpoints.written, held, *known)
+        metrics = node.metrics.report(node.endpoints.written, held, *known)
         start = node.start_report.counts()
-        return told | {"refused_effects": node.lifecycle.counts(), "found_at_start": start}
+        return metrics | {"refused_effects": node.lifecycle.counts(), "found_at_start": start}
--- a/rushhitch/core/state_transfer.py
+++ b/rushhitch/core/state_transfer.py
@@ -1,4 +1,4 @@
-"""One process gives all that it has to another, or goes on with what it was given: the core's part of it."""
+"""Handover of all requests from one process to its successor: the part of the core on both sides."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class StateTransfer:
-    """The same node on either side: of the process that hands over, or of the one that takes over."""
+    """Used by the process that hands over and by the one that takes over, each with its own node."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
-        self.more: Callable[[], dict[str, Any]] = dict  # what others hand over, as this process ends it
+        self.more: Callable[[], dict[str, Any]] = dict  # state that other components hand over
 
     async def freeze(self) -> bool:
-        """Send nothing more; what is not written whole is called back, and what came in is in the journal.
-        False where the disk does not take it: then nothing can be handed over."""
+        """Quiesce: start no call, abort calls not yet written in full, and commit everything to the journal.
+        Returns False if the disk does not accept that; then nothing can be handed over."""
         node = self.node
         node.lifecycle.enter(Phase.QUIESCING)
         await node.endpoints.freeze()
@@ -33,29 +33,30 @@
         return not node.journal.has_unwritten_records
 
     async def end_calls(self) -> None:
-        """This process ends and no other carries its calls on. All that they prove is in the journal before
-        it is closed: later, it may be another process's. What is read from then on is refused at once."""
-        await self.node.endpoints.hear_out()
+        """Shut down without a successor for the calls in flight. Their outcomes are committed before the
+        journal is closed, since another process may own it afterwards. Requests read from then on are
+        refused."""
+        await self.node.endpoints.finish_calls()
         self.node.lifecycle.enter(Phase.CLOSED)
-        self.node.turn()  # who handed something in meanwhile is answered, too
+        self.node.turn()  # also answers requests submitted meanwhile
         await self.node.committer.wait_until_idle()
 
     def relinquish(
         self, report: Callable[[Result], None], abandon: Callable[[int, str], None]
     ) -> tuple[int, dict[str, Any]]:
-        """Own nothing from now on but the calls that are out, whose results go to `report`; messages whose
-        clients turn out to be gone go to `abandon`. The descriptor that holds the folder, and what the
-        process needs that goes on."""
+        """Give up ownership of all requests. Calls in flight continue, with their results passed to `report`;
+        messages whose clients have disconnected are passed to `abandon`. Returns the descriptor of the
+        folder's lock and the state for the successor."""
         node = self.node
         now = node.loop.time()
         loans = [
             InheritedAttempt(message, attempt, call.endpoint, id(call), call.started, call.first_due)
             for (message, attempt), call in node.endpoints.calls.items()
         ]
-        told = {
+        state = {
             "learned": learned.export(node.dispatcher),
             "loans": [astuple(loan) for loan in loans],
-            "waits": [(lane, until) for lane, until in node.endpoints.waits.items() if until > now],
+            "waits": [(lane, until) for lane, until in node.endpoints.retry_after.items() if until > now],
             "servers": list(node.registry.servers.values()),
             **self.more(),
         }
@@ -68,12 +69,12 @@
         for message in node.messages.values():
             if message.watchdog is not None:
                 message.watchdog.cancel()
-        return node.journal.hand_over(), told
+        return node.journal.hand_over(), state
 
     def adopt_waits(self, waits: Sequence[tuple[int | str, float]]) -> None:
         node = self.node
         for lane, until in waits:
-            node.endpoints.waits[lane] = max(node.endpoints.waits.get(lane, 0.0), until)
+            node.endpoints.retry_after[lane] = max(node.endpoints.retry_after.get(lane, 0.0), until)
 
     def inherited_attempt_ended(
         self,
@@ -86,7 +87,7 @@
         later: bool = False,
         final: bool = False,
     ) -> None:
-        """The earlier process tells how one of its calls ended."""
+        """Handle the result of an inherited attempt, as reported by the earlier process."""
         node = self.node
         loan, held = node.inherited.pop((message, attempt), None), node.messages.get(message)
         if loan is None:
@@ -101,7 +102,7 @@
         node.attempt_ended(replace(result, first_due=loan.first_due, later=later, final=final))
 
     def fail_inherited_attempts(self) -> None:
-        """The earlier process has died: what it had out may have run."""
+        """The earlier process has died: its attempts in flight end as RESET, since they may have run."""
         node = self.node
         for message, attempt in list(node.inherited):
             self.inherited_attempt_ended(message, attempt, Outcome.RESET)
--- a/rushhitch/endpoints.py
+++ b/rushhitch/endpoints.py
@@ -1,4 +1,4 @@
-"""Calls to the endpoints: the connection pool, single calls, batches, probes, and what came of each."""
+"""Calls to the endpoints: the connection pool, single and batch calls, probes, and their outcomes."""
 
 from __future__ import annotations
 
@@ -21,20 +21,22 @@
 
 log = logging.getLogger(__name__)
 
-MOST_ANSWER = 65_536
-ASK_S = 5.0  # a request without a message has its answer by then, or none
-REST_S = 0.5  # an answer that has begun comes to its end in that time, or it is spoilt
-LATE_LOOKS = 2.0  # before a window ends, a repeat begins: one is made, one is for its last byte's way
-LAST_LOOK_S = 0.05  # at the end of the process: an answer that never ends is not read for longer
-QUIET_TURNS = 3  # of the loop, until what was read of an answer has reached its call
-IDLE_MARGIN = 0.1  # of the idle time of connections: so long before its end one is not used any more
+MAX_RESPONSE_BYTES = 65_536
+ASK_S = 5.0  # timeout of a request that carries no message
+RESPONSE_REMAINDER_S = 0.5  # time for the rest of an answer once it has begun
+START_MARGIN_DELAYS = (
+    2.0  # margin before a start deadline, in `last_byte_delay_s`: for the check and for sending the last byte
+)
+SHUTDOWN_READ_LIMIT_S = 0.05  # at shutdown: an endless answer is read no longer than this
+QUIET_LOOP_ITERATIONS = 3  # loop iterations until data read from a socket has reached its call
+IDLE_TIMEOUT_MARGIN = 0.1  # fraction of the idle timeout in which a connection is no longer reused
 PLATFORM = Platform()
-NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE)
+DESCRIPTORS_EXHAUSTED = (errno.EMFILE, errno.ENFILE)
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """Where an endpoint is and what binds it; `lane` is what a told wait holds for."""
+    """Address and constraints of an endpoint; a retry-after wait holds for its whole `lane`."""
 
     address: tuple[str, int]
     lane: object
@@ -45,9 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """How an attempt ended; `over` says that the message is finished, however that came. `idled_ms` is how
-    long its connection had stood idle, 0 if it was new or never came up; `kept`, whether it is idle again;
-    `first_due`, when the first message of its call is out of time."""
+    """The outcome of an attempt. `over`: the message was delivered; `later`: subject to an acknowledgement
+    that follows. `idled_ms`: how long the connection had been idle, 0 if it was new or never came up; `kept`:
+    it is idle again. `wait_ms`: retry-after of the answer. `first_due`: the earliest deadline within the
+    call, in loop time."""
 
     attempt: Attempt
     endpoint: str
@@ -64,7 +67,7 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One request out: a message, or several."""
+    """One HTTP request with one message or a batch; `open` holds the attempts without an outcome."""
 
     endpoint: str
     started: float
@@ -72,110 +75,113 @@
     ids: list[bytes]
     codec: Codec = PLATFORM
     first_due: float = math.inf
-    wait: float = 0.0  # told by its answer
+    wait: float = 0.0  # retry-after of its answer, in milliseconds
     idled_ms: float = 0.0
     kept: bool = False
-    later: bool = False  # its answer says that an acknowledgement is to come
+    later: bool = False  # its answer announces an acknowledgement
     task: asyncio.Task[None] | None = None
-    written: bool = False  # its last byte has gone out
-    recalled: bool = False  # it is not to go out any more
-    recorded: bool = False  # the journal tells of it
-    connection: Connection | None = None  # once it is up
+    written: bool = False  # its last byte has been written
+    aborted: bool = False  # its last byte must not be written
+    recorded: bool = False  # its attempts are in the journal
+    connection: Connection | None = None  # once established
 
 
-Going = Callable[[list[Attempt]], None]  # hears which attempts of a call are to be written
+StartCallback = Callable[[list[Attempt]], None]  # called with the attempts of a call that may be written
 
 
 def start_by(attempts: list[Attempt]) -> float:
-    """When the first window of a call's keys ends, or its connection has taken too long."""
+    """The latest time to start the call: the earliest start deadline of its attempts."""
     return min(attempt.start_by for attempt in attempts)
 
 
-class NoRoom(OSError):
-    """No connection may be opened, or none can for want of a descriptor, and each one there has a call on it:
-    that says nothing of the endpoint."""
+class NoConnectionAvailable(OSError):
+    """The connection limit or the descriptors are exhausted and no connection is idle. This is no failure of
+    the endpoint."""
 
 
 class EndpointPool:
-    """Carries out sends, cancels, probes and hang-ups; hands each result to `report`."""
+    """Runs calls and probes and keeps idle connections. Each attempt is passed to `report` exactly once, with
+    its result; `dropped` is called with the endpoint of each idle connection that was closed."""
 
     def __init__(
         self,
         settings: Settings,
         report: Callable[[Result], None],
         dropped: Callable[[str], None] = lambda endpoint: None,
-        most: int = 256,
+        max_connections: int = 256,
         withdrawn: Callable[[str], None] = lambda endpoint: None,
-        begin: Callable[[str, list[Attempt], Going], None] = lambda endpoint, attempts, go: go(attempts),
+        begin: Callable[[str, list[Attempt], StartCallback], None] = lambda endpoint, attempts, go: go(
+            attempts
+        ),
         may_send: Callable[[Attempt], bool] = lambda attempt: True,
     ) -> None:
         self.settings, self.report, self.dropped = settings, report, dropped
-        self.withdrawn = withdrawn  # an endpoint said that it wants nothing any more
-        self.begin = begin  # before the last byte of a call
-        self.may_send = may_send  # asked in the step of its last byte
-        self.most = most  # connections, with a call or idle
+        self.withdrawn = withdrawn  # called when an answer withdraws an endpoint's consent
+        self.begin = begin  # called before the last byte of a call, to record its attempts
+        self.may_send = may_send  # asked in the step in which the last byte is written
+        self.max_connections = max_connections  # limit of connections, busy and idle
         self.loop = asyncio.get_running_loop()
         self.entries: dict[str, EndpointEntry] = {}
         self.idle: dict[str, list[tuple[Connection, float]]] = {}
         self.connections = 0
-        self.busy: Counter[str] = Counter()  # calls and probes out, by endpoint
+        self.busy: Counter[str] = Counter()  # calls and probes in flight, by endpoint
         self.calls: dict[tuple[int, int], Call] = {}
-        self.waits: dict[object, float] = {}
-        self.banned: set[str] = set()  # by operators, listed or not
-        self.frozen = False  # nothing new starts, another process goes on
-        self.held_back = 0  # calls whose last byte was not written, since something spoke against it by then
-        self.written = 0  # messages whose call's last byte has gone out
+        self.retry_after: dict[object, float] = {}
+        self.banned: set[str] = set()  # banned by operators, listed or not
+        self.frozen = False  # no call starts, another process continues
+        self.held_back = 0  # calls must_not_start right before their last byte
+        self.written = 0  # messages in calls that were written in full
         self.tasks: set[asyncio.Task[None]] = set()
-        self.keep_s = settings.conn_idle_ms * (1.0 - IDLE_MARGIN) / 1000.0
+        self.idle_limit_s = settings.conn_idle_ms * (1.0 - IDLE_TIMEOUT_MARGIN) / 1000.0
 
-    def place(self, endpoint: str, place: EndpointEntry) -> None:
-        """The endpoint is listed here from now on."""
+    def set_endpoint(self, endpoint: str, entry: EndpointEntry) -> None:
+        """Add the endpoint or replace its entry. Idle connections are closed if it moved or is not ready."""
         old = self.entries.get(endpoint)
-        self.entries[endpoint] = place
-        if place.state is not State.READY or (old is not None and old.address != place.address):
-            for entry in list(self.idle.get(endpoint, ())):
-                self.drop(endpoint, entry)
+        self.entries[endpoint] = entry
+        if entry.state is not State.READY or (old is not None and old.address != entry.address):
+            for idle in list(self.idle.get(endpoint, ())):
+                self.drop_idle(endpoint, idle)
 
     def drain(self, endpoint: str) -> None:
-        """It wants nothing new."""
+        """Start no further call to the endpoint."""
         if endpoint in self.entries:
-            self.place(endpoint, replace(self.entries[endpoint], state=State.DRAINING))
+            self.set_endpoint(endpoint, replace(self.entries[endpoint], state=State.DRAINING))
 
-    def bar(self, endpoint: str) -> None:
-        """The endpoint is no longer listed."""
+    def remove_endpoint(self, endpoint: str) -> None:
+        """The endpoint is no longer listed: close its idle connections; calls in flight continue."""
         if endpoint in self.entries:
             self.entries[endpoint] = replace(self.entries[endpoint], state=State.GONE)
-            self.hang_up(endpoint)
+            self.close_idle(endpoint)
             self.forget(endpoint)
 
     def ban(self, endpoint: str) -> None:
-        """Nothing new goes there; calls under way may end."""
+        """Start no call there until `unban`; calls in flight continue."""
         self.banned.add(endpoint)
-        self.hang_up(endpoint)
+        self.close_idle(endpoint)
 
     def unban(self, endpoint: str) -> None:
         self.banned.discard(endpoint)
 
     async def freeze(self) -> None:
-        """Start nothing more, and call back what has not been written whole: that never ran. The other calls
-        go on."""
+        """Start no further call, and abort the calls not yet written in full, which have not run. The others
+        continue."""
         self.frozen = True
         called_back = []
         for call in {id(call): call for call in self.calls.values()}.values():
             if not call.written and call.task is not None:
-                call.recalled = True
+                call.aborted = True
                 call.task.cancel()
                 called_back.append(call.task)
         if called_back:
             await asyncio.wait(called_back)
         for endpoint in list(self.idle):
-            self.hang_up(endpoint)
+            self.close_idle(endpoint)
 
-    async def hear_out(self) -> None:
-        """Before the process ends: what the system holds of answers counts, whole or as far as it proves
-        anything, and then the calls that are out end."""
-        until, quiet = self.loop.time() + LAST_LOOK_S, 0
-        while self.calls and quiet < QUIET_TURNS and self.loop.time() < until:
+    async def finish_calls(self) -> None:
+        """Before the process ends: read the answers that have already arrived, complete or in part, then end
+        all calls in flight with the outcome that they prove."""
+        until, quiet = self.loop.time() + SHUTDOWN_READ_LIMIT_S, 0
+        while self.calls and quiet < QUIET_LOOP_ITERATIONS and self.loop.time() < until:
             await asyncio.sleep(0)
             written = (call.connection for call in self.calls.values() if call.written)
             quiet = 0 if any(held is not None and not held.has_no_input() for held in written) else quiet + 1
@@ -186,57 +192,63 @@
             await asyncio.wait(tasks)
 
     def forget(self, endpoint: str) -> None:
-        """Guards against growth where endpoints come and go: of one that is gone only a wait is kept."""
+        """Remove an unlisted endpoint once it is unused, to bound memory; unexpired waits are kept."""
         if not self.busy[endpoint]:
             del self.busy[endpoint]
-            place = self.entries.get(endpoint)
-            if place is not None and place.state is State.GONE:
+            listed = self.entries.get(endpoint)
+            if listed is not None and listed.state is State.GONE:
                 del self.entries[endpoint]
                 now = self.loop.time()
-                self.waits = {lane: until for lane, until in self.waits.items() if until > now}
+                self.retry_after = {lane: until for lane, until in self.retry_after.items() if until > now}
 
     # Connections
 
-    def take(self, endpoint: str) -> tuple[Connection, float] | None:
-        """The connection used last and how long it idled, unless that is too long or it is not quiet."""
+    def acquire(self, endpoint: str) -> tuple[Connection, float] | None:
+        """The most recently used idle connection and its idle time in seconds. Connections that are idle for
+        too long or have unexpected input are closed."""
         while idle := self.idle.get(endpoint):
             connection, since = idle[-1]
             idled = self.loop.time() - since
-            if idled < self.keep_s and connection.has_no_input():
-                self.unlist(endpoint, idle[-1])
+            if idled < self.idle_limit_s and connection.has_no_input():
+                self.remove_idle(endpoint, idle[-1])
                 return connection, idled
-            self.drop(endpoint, idle[-1])
+            self.drop_idle(endpoint, idle[-1])
         return None
 
-    def put(self, endpoint: str, connection: Connection) -> None:
-        """Keep the connection for a further call, if that may still come."""
+    def release(self, endpoint: str, connection: Connection) -> None:
+        """Keep the connection idle for reuse, or close it if the endpoint takes no further calls."""
         now = self.loop.time()
-        while (idle := self.idle.get(endpoint)) and now - idle[0][1] >= self.keep_s:
-            self.drop(endpoint, idle[0])
-        place = self.entries.get(endpoint)
-        barred = self.frozen or endpoint in self.banned
-        if barred or place is None or place.state is not State.READY or place.address != connection.address:
+        while (idle := self.idle.get(endpoint)) and now - idle[0][1] >= self.idle_limit_s:
+            self.drop_idle(endpoint, idle[0])
+        listed = self.entries.get(endpoint)
+        blocked = self.frozen or endpoint in self.banned
+        if (
+            blocked
+            or listed is None
+            or listed.state is not State.READY
+            or listed.address != connection.address
+        ):
             self.close(connection)
             return
         entry = (connection, now)
         self.idle.setdefault(endpoint, []).append(entry)
-        self.loop.add_reader(connection.sock, self.drop, endpoint, entry)
+        self.loop.add_reader(connection.sock, self.drop_idle, endpoint, entry)
 
-    def unlist(self, endpoint: str, entry: tuple[Connection, float]) -> None:
+    def remove_idle(self, endpoint: str, entry: tuple[Connection, float]) -> None:
         self.loop.remove_reader(entry[0].sock)
         self.idle[endpoint].remove(entry)
         if not self.idle[endpoint]:
             del self.idle[endpoint]
 
-    def drop(self, endpoint: str, entry: tuple[Connection, float]) -> None:
-        """Close an idle connection: it is too old, or its other side ended it or sent what nobody asked."""
-        self.unlist(endpoint, entry)
+    def drop_idle(self, endpoint: str, entry: tuple[Connection, float]) -> None:
+        """Close an idle connection that is too old, or whose peer closed it or sent unsolicited data."""
+        self.remove_idle(endpoint, entry)
         self.close(entry[0])
         self.dropped(endpoint)
 
-    def hang_up(self, endpoint: str) -> None:
+    def close_idle(self, endpoint: str) -> None:
         for entry in list(self.idle.get(endpoint, ())):
-            self.unlist(endpoint, entry)
+            self.remove_idle(endpoint, entry)
             self.close(entry[0])
 
     def close(self, connection: Connection) -> None:
@@ -244,8 +256,8 @@
         self.connections -= 1
 
     async def connect(self, endpoint: str) -> Connection:
-        if self.connections >= self.most:
-            self.let_one_go(f"{self.most} connections are open")
+        if self.connections >= self.max_connections:
+            self.evict_idle(f"{self.max_connections} connections are open")
         self.connections += 1
         try:
             async with asyncio.timeout(self.settings.connect_timeout_ms / 1000.0):
@@ -253,49 +265,49 @@
                     try:
                         return await Connection.open(self.entries[endpoint].address)
                     except OSError as error:
-                        if error.errno not in NO_DESCRIPTOR:
+                        if error.errno not in DESCRIPTORS_EXHAUSTED:
                             raise
-                        self.let_one_go(str(error))
+                        self.evict_idle(str(error))
         except BaseException:
             self.connections -= 1
             raise
 
-    def let_one_go(self, why: str) -> None:
-        """The connection that has idled longest makes room for another; a `NoRoom` where none idles."""
+    def evict_idle(self, why: str) -> None:
+        """Evict the connection that has been idle longest. Raises `NoConnectionAvailable` if none is idle."""
         if not self.idle:
-            raise NoRoom(why)
+            raise NoConnectionAvailable(why)
         longest = min(self.idle, key=lambda name: self.idle[name][0][1])
-        self.drop(longest, self.idle[longest][0])
+        self.drop_idle(longest, self.idle[longest][0])
 
     # Calls
 
     def send(self, endpoint: str, attempts: list[Attempt]) -> None:
-        """Start the calls that one turn's attempts at an endpoint make."""
+        """Group the attempts of one turn at an endpoint into calls and start them."""
         if self.frozen or endpoint not in self.entries or endpoint in self.banned:
             for attempt in attempts:
                 self.report(Result(attempt, endpoint, Outcome.NOT_EXECUTED, 0.0))
             return
-        place = self.entries[endpoint]
-        size = place.codec.batch(place.batch)
+        listed = self.entries[endpoint]
+        size = listed.codec.batch(listed.batch)
         for start in range(0, len(attempts), size):
-            self.start(endpoint, attempts[start : start + size])
+            self.start_call(endpoint, attempts[start : start + size])
 
-    def start(self, endpoint: str, attempts: list[Attempt]) -> None:
+    def start_call(self, endpoint: str, attempts: list[Attempt]) -> None:
         open_ = {(a.message, a.number): a for a in attempts}
         first_due = min(attempt.due for attempt in attempts)
         codec = self.entries[endpoint].codec
         call = Call(endpoint, self.loop.time(), open_, [attempt.id for attempt in attempts], codec, first_due)
         self.calls.update(dict.fromkeys(call.open, call))
-        call.task = self.keep_task(endpoint, self.run(call, attempts))
+        call.task = self.start_task(endpoint, self.run(call, attempts))
 
-    def keep_task(self, endpoint: str, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
+    def start_task(self, endpoint: str, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = self.loop.create_task(work)
         self.tasks.add(task)
         self.busy[endpoint] += 1
-        task.add_done_callback(lambda task: self.task_done(endpoint, task))
+        task.add_done_callback(lambda task: self.on_task_done(endpoint, task))
         return task
 
-    def task_done(self, endpoint: str, task: asyncio.Task[None]) -> None:
+    def on_task_done(self, endpoint: str, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         self.busy[endpoint] -= 1
         self.forget(endpoint)
@@ -309,7 +321,7 @@
         elif call.task is not None:
             call.task.cancel()
 
-    def end(self, call: Call, attempt: Attempt, told: MessageEnd) -> None:
+    def end(self, call: Call, attempt: Attempt, message_end: MessageEnd) -> None:
         key = (attempt.message, attempt.number)
         if call.open.pop(key, None) is None:
             return
@@ -319,81 +331,81 @@
             Result(
                 attempt,
                 call.endpoint,
-                told.outcome,
+                message_end.outcome,
                 took,
                 call.wait,
-                told.delivered,
+                message_end.delivered,
                 call.idled_ms,
                 call.kept,
                 call.first_due,
-                told.delivered and call.later,
-                told.final,
+                message_end.delivered and call.later,
+                message_end.final,
             )
         )
 
-    def end_all(self, call: Call, told: MessageEnd) -> None:
+    def end_all(self, call: Call, message_end: MessageEnd) -> None:
         for attempt in list(call.open.values()):
-            self.end(call, attempt, told)
+            self.end(call, attempt, message_end)
 
     async def run(self, call: Call, attempts: list[Attempt]) -> None:
-        """One call from its connection to its outcome; whatever goes wrong, each attempt gets one."""
+        """Run a call from its connection to its outcome. Each attempt gets a result, whatever fails."""
         connection, ends = None, None
         broken = Outcome.RESET
         try:
-            # A batch ends as a whole with the first time that is up: once one of its messages is given up, no
-            # answer proves anything for the others, and to wait on would hold the slot for nothing.
+            # A batch times out as a whole with its earliest deadline: once one message is given up, no answer
+            # proves anything for the others, and waiting on would only occupy the slot.
             async with asyncio.timeout_at(min(attempt.stop_at for attempt in attempts)) as limit:
                 while connection is None:
-                    connection = call.connection = await self.connected(call)
-                    attempts = self.still_open(call, attempts)
-                    if self.stopped(connection, call, attempts):
+                    connection = call.connection = await self.obtain_connection(call)
+                    attempts = self.discard_ended(call, attempts)
+                    if self.must_not_start(connection, call, attempts):
                         broken = Outcome.NOT_EXECUTED
                         break
-                    connection.on_response_start = lambda: self.hurry(limit)
+                    connection.on_response_start = lambda: self.limit_remaining_time(limit)
                     try:
                         await self.request(connection, call, attempts)
                     except OSError:
                         if not call.idled_ms:
                             raise
-                        self.close(connection)  # it had died unseen: the call takes another
+                        self.close(connection)  # the idle connection was dead: retry on another
                         self.dropped(call.endpoint)
                         connection = None
                 else:
                     call.written = True
                     self.written += len(attempts)
-                    ends = await self.answer(connection, call)
+                    ends = await self.read_answer(connection, call)
         except TimeoutError:
             broken = Outcome.TIMEOUT
         except asyncio.CancelledError:
             sent = connection is not None and connection.written
-            broken = Outcome.NOT_EXECUTED if call.recalled and not sent else Outcome.CANCELLED
-        except NoRoom as error:
-            log.warning("not sent to %s: %s", call.endpoint, error)
+            broken = Outcome.NOT_EXECUTED if call.aborted and not sent else Outcome.CANCELLED
+        except NoConnectionAvailable as error:
+            log.warning("call to %s not started: %s", call.endpoint, error)
             broken = Outcome.NOT_EXECUTED
         except NotSent as error:
             self.held_back += 1
             log.info("a call was held back", extra={"endpoint": call.endpoint, "reason": str(error)})
-            broken, call.recalled = (
+            broken, call.aborted = (
                 Outcome.NOT_EXECUTED,
                 True,
-            )  # most of it is written: its connection is of no use
+            )  # it is partly written: the connection cannot be reused
         except h11.ProtocolError as error:
-            log.debug("the answer of %s is spoilt: %r", call.endpoint, error)
+            log.debug("invalid answer from %s: %r", call.endpoint, error)
             broken = Outcome.ERROR
         except OSError as error:
-            log.debug("call to %s broke: %r", call.endpoint, error)
+            log.debug("connection of call to %s failed: %r", call.endpoint, error)
         except Exception:
             log.exception("call to %s failed", call.endpoint)
         finally:
             if connection is not None:
-                self.leave(connection, call, broken)
+                self.finish_exchange(connection, call, broken)
             if ends is not None:
                 for attempt in list(call.open.values()):
                     self.end(call, attempt, ends[attempt.id])
-            self.end_all(call, self.broken(connection, call, broken))
+            self.end_all(call, self.broken_call_end(connection, call, broken))
 
-    async def connected(self, call: Call) -> Connection:
-        if taken := self.take(call.endpoint):
+    async def obtain_connection(self, call: Call) -> Connection:
+        if taken := self.acquire(call.endpoint):
             connection, idled = taken
             call.idled_ms = max(idled * 1000.0, 1e-3)
         else:
@@ -402,27 +414,25 @@
         connection.written, connection.response_start = False, b""
         return connection
 
-    def hurry(self, limit: asyncio.Timeout) -> None:
-        """Guards against an answer that never ends."""
+    def limit_remaining_time(self, limit: asyncio.Timeout) -> None:
+        """Bound the time for the rest of an answer that has begun, since it might never end."""
         stop = limit.when()
-        assert stop is not None, "a call has a time to stop at"
-        limit.reschedule(min(stop, self.loop.time() + REST_S))
+        assert stop is not None, "a call always has a timeout"
+        limit.reschedule(min(stop, self.loop.time() + RESPONSE_REMAINDER_S))
 
-    def leave(self, connection: Connection, call: Call, broken: Outcome) -> None:
-        """Keep the connection if its call has come to a clean end, or was never written."""
+    def finish_exchange(self, connection: Connection, call: Call, broken: Outcome) -> None:
+        """Keep the connection if its HTTP exchange is complete or nothing was written; else close it."""
         connection.on_response_start = None
-        unused = (
-            broken is Outcome.NOT_EXECUTED and not call.recalled
-        )  # what was called back may be half written
+        unused = broken is Outcome.NOT_EXECUTED and not call.aborted  # an aborted call may be partly written
         call.kept = connection.prepare_next_request() if connection.written else unused
         if call.kept:
-            self.put(call.endpoint, connection)
+            self.release(call.endpoint, connection)
         else:
             self.close(connection)
 
     @staticmethod
-    def broken(connection: Connection | None, call: Call, broken: Outcome) -> MessageEnd:
-        """What became of each message of a call that did not come to a clean end."""
+    def broken_call_end(connection: Connection | None, call: Call, broken: Outcome) -> MessageEnd:
+        """The end of each message of a call without a complete answer."""
         if broken is Outcome.NOT_EXECUTED:
             return MessageEnd(Outcome.NOT_EXECUTED)
         if connection is None or not connection.written:
@@ -436,24 +446,25 @@
         return MessageEnd(broken, final=final)
 
     async def record(self, call: Call, attempts: list[Attempt]) -> bool:
-        """The journal tells of a call's attempts right before its last byte: what never left is not taken for
-        what may have run. Whether that had to wait for the disk; without syncs it is done in this step.
-        Raises `NotSent` where the disk does not take it, or one of the messages is over."""
+        """Record the call's attempts in the journal right before the last byte, so that after a crash a
+        message that was never sent is not taken for one that may have run. Returns whether it had to wait for
+        the disk; without syncs it does not. Raises `NotSent` if the disk rejects it or one of the messages
+        has ended."""
         if call.recorded:
             return False
         if any((attempt.message, attempt.number) not in call.open for attempt in attempts):
-            raise NotSent("a message of it is over")
+            raise NotSent("a message of the call has ended")
         call.recorded = True
-        told: asyncio.Future[list[Attempt]] = self.loop.create_future()
-        self.begin(call.endpoint, attempts, lambda going: told.done() or told.set_result(going))
-        waited = not told.done()
-        if len(await told) < len(attempts):
-            raise NotSent("it is not recorded: a message of it is over, or the disk does not take it")
+        recorded: asyncio.Future[list[Attempt]] = self.loop.create_future()
+        self.begin(call.endpoint, attempts, lambda allowed: recorded.done() or recorded.set_result(allowed))
+        waited = not recorded.done()
+        if len(await recorded) < len(attempts):
+            raise NotSent("not recorded: a message of the call has ended, or the journal cannot be written")
         return waited
 
-    def still_open(self, call: Call, attempts: list[Attempt]) -> list[Attempt]:
-        """Those that go into the request which is written in this step. Connecting takes time, and each
-        further connection of a call takes it anew."""
+    def discard_ended(self, call: Call, attempts: list[Attempt]) -> list[Attempt]:
+        """The attempts that may still be sent; the others end as NOT_EXECUTED. Checked after each connect,
+        since messages may end meanwhile."""
         for attempt in list(call.open.values()):
             if not self.may_send(attempt):
                 self.end(call, attempt, MessageEnd(Outcome.NOT_EXECUTED))
@@ -461,88 +472,97 @@
         call.ids = [attempt.id for attempt in attempts]
         return attempts
 
-    def commit(self, connection: Connection, call: Call, attempts: list[Attempt]) -> None:
-        """The last look, in the step of a call's last byte. Raises `NotSent` where it must not go: the bytes
-        before it hold all messages of the call, so one that is over holds back the others as well, which
-        have not run and go on in another call."""
-        if call.recalled or self.barred(call.endpoint, connection):
-            raise NotSent("its endpoint takes nothing now")
+    def confirm_send(self, connection: Connection, call: Call, attempts: list[Attempt]) -> None:
+        """The final check, in the step in which the last byte is written. Raises `NotSent` if it must not be.
+        The bytes before it contain all messages of the call, so one that has ended stops the others too; they
+        have not run and are sent in another call."""
+        if call.aborted or self.is_blocked(call.endpoint, connection):
+            raise NotSent("the endpoint is not available")
         if time.monotonic() + connection.last_byte_delay_s > start_by(
             attempts
-        ):  # some loops' clocks stand still
-            raise NotSent("its time to begin is over")
+        ):  # uvloop caches the loop time
+            raise NotSent("the start deadline has passed")
         for attempt in attempts:
             if (attempt.message, attempt.number) not in call.open or not self.may_send(attempt):
-                raise NotSent(f"message {attempt.message} is over")
+                raise NotSent(f"message {attempt.message} has ended")
 
-    def stopped(self, connection: Connection, call: Call, attempts: list[Attempt]) -> bool:
-        return not attempts or self.barred(call.endpoint, connection) or self.too_late(connection, attempts)
+    def must_not_start(self, connection: Connection, call: Call, attempts: list[Attempt]) -> bool:
+        return (
+            not attempts
+            or self.is_blocked(call.endpoint, connection)
+            or self.is_too_late(connection, attempts)
+        )
 
-    def barred(self, endpoint: str, connection: Connection) -> bool:
-        """Guards against a send that was decided before its connection came up: by then a wait may have been
-        told, or the endpoint may be draining, or at another address."""
-        place = self.entries[endpoint]
-        if endpoint in self.banned or connection.address != place.address:
+    def is_blocked(self, endpoint: str, connection: Connection) -> bool:
+        """Whether the endpoint may no longer be called on this connection. While it was being established,
+        the endpoint may have sent a retry-after, been banned, started draining or changed its address."""
+        listed = self.entries[endpoint]
+        if endpoint in self.banned or connection.address != listed.address:
             return True
-        return place.state is not State.READY or self.waits.get(place.lane, 0.0) > self.loop.time()
+        return listed.state is not State.READY or self.retry_after.get(listed.lane, 0.0) > self.loop.time()
 
-    def too_late(self, connection: Connection, attempts: list[Attempt]) -> bool:
-        """Guards against a repeat that was decided in time and counts twice all the same: its connection took
-        longer to come up than was left. `commit` looks again before the last byte."""
-        return self.loop.time() + LATE_LOOKS * connection.last_byte_delay_s >= start_by(attempts)
+    def is_too_late(self, connection: Connection, attempts: list[Attempt]) -> bool:
+        """Whether too little time is left before the start deadline. A retry that starts after the window of
+        its key would count twice at the partner; connecting may have used up the time that the decision left.
+        `confirm_send` checks again before the last byte."""
+        return self.loop.time() + START_MARGIN_DELAYS * connection.last_byte_delay_s >= start_by(attempts)
 
     async def request(self, connection: Connection, call: Call, attempts: list[Attempt]) -> None:
         left = min(attempt.stop_at for attempt in attempts) - self.loop.time()
         written = call.codec.write(attempts, left * 1000.0)
-        commit = functools.partial(self.commit, connection, call, attempts)
+        confirm = functools.partial(self.confirm_send, connection, call, attempts)
         record = functools.partial(self.record, call, attempts)
-        await connection.send("POST", written.target, written.headers, written.body, commit, record)
+        await connection.send("POST", written.target, written.headers, written.body, confirm, record)
 
-    async def answer(self, connection: Connection, call: Call) -> Ends:
-        """How each message ended. Guards against spoilt answers: one counts when the whole of it is read."""
+    async def read_answer(self, connection: Connection, call: Call) -> Ends:
+        """Read the answer and return the end of each message. Only an answer that was read in full counts."""
         response = await connection.response()
         call.wait = call.codec.wait_ms(response, time.time())
         if call.wait:
             lane = self.entries[call.endpoint].lane
-            self.waits[lane] = max(self.waits.get(lane, 0.0), self.loop.time() + call.wait / 1000.0)
-        body = await connection.body(MOST_ANSWER)
+            self.retry_after[lane] = max(
+                self.retry_after.get(lane, 0.0), self.loop.time() + call.wait / 1000.0
+            )
+        body = await connection.body(MAX_RESPONSE_BYTES)
         call.later = call.codec.later(response.status_code)
         if call.codec.withdrawn(response):
             self.withdrawn(call.endpoint)
         ends = call.codec.ends(response, body, call.ids)
         if len(call.open) < len(call.ids):
-            # Guards against messages that are lost: to the other side, a call of which one message was given
-            # up may be given up as a whole, and then its answer counts for none. It proves neither that the
-            # others ran nor that they did not. One that is over there by its word is not called again.
+            # One message of the batch was given up. The partner may then discard the whole call, so the
+            # answer proves neither that the others ran nor that they did not; trusting it could lose them.
+            # Messages that the partner reports as finished are not sent again.
             return {
-                name: MessageEnd(Outcome.ERROR, final=told.final or told.delivered)
-                for name, told in ends.items()
+                name: MessageEnd(Outcome.ERROR, final=end.final or end.delivered)
+                for name, end in ends.items()
             }
         return ends
 
     # Requests without a message
 
-    async def talk(self, connection: Connection, method: str, target: str, headers: Headers) -> h11.Response:
+    async def exchange(
+        self, connection: Connection, method: str, target: str, headers: Headers
+    ) -> h11.Response:
         await connection.send(method, target, headers)
         response = await connection.response()
-        await connection.body(MOST_ANSWER)
+        await connection.body(MAX_RESPONSE_BYTES)
         return response
 
     async def ask(self, endpoint: str, method: str, target: str, headers: Headers) -> h11.Response:
-        """The head of the answer to a request. Raises an `OSError`, a `TimeoutError`, an `h11.ProtocolError`,
-        or a `KeyError` where the endpoint is not listed."""
+        """Send a request without a message and return the head of its answer. Raises `OSError`,
+        `TimeoutError`, `h11.ProtocolError`, or `KeyError` if the endpoint is not listed."""
         call, connection = Call(endpoint, self.loop.time(), {}, []), None
         try:
             async with asyncio.timeout(ASK_S):
-                connection = await self.connected(call)
-                return await self.talk(connection, method, target, headers)
+                connection = await self.obtain_connection(call)
+                return await self.exchange(connection, method, target, headers)
         finally:
             if connection is not None:
-                self.leave(connection, call, Outcome.ERROR)
+                self.finish_exchange(connection, call, Outcome.ERROR)
 
     def probe(self, endpoint: str, report: Callable[[str, Outcome, float], None]) -> None:
         if endpoint in self.entries and endpoint not in self.banned:
-            self.keep_task(endpoint, self.run_probe(endpoint, report))
+            self.start_task(endpoint, self.run_probe(endpoint, report))
         else:
             report(endpoint, Outcome.NOT_EXECUTED, 0.0)
 
@@ -550,19 +570,19 @@
         call, connection, outcome = Call(endpoint, self.loop.time(), {}, []), None, Outcome.CONNECT_FAILED
         try:
             async with asyncio.timeout(self.settings.connect_timeout_ms / 1000.0):
-                connection = await self.connected(call)
+                connection = await self.obtain_connection(call)
                 outcome = Outcome.NOT_EXECUTED
-                if not self.barred(endpoint, connection):
+                if not self.is_blocked(endpoint, connection):
                     outcome = Outcome.RESET
-                    response = await self.talk(connection, "GET", "/alive", [])
+                    response = await self.exchange(connection, "GET", "/alive", [])
                     outcome = head_end(response).outcome
         except TimeoutError:
             outcome = Outcome.TIMEOUT if connection is not None else outcome
         except (OSError, h11.ProtocolError) as error:
-            log.debug("probe of %s broke: %r", endpoint, error)
+            log.debug("probe of %s got no valid answer: %r", endpoint, error)
         except Exception:
             log.exception("probe of %s failed", endpoint)
         finally:
             if connection is not None:
-                self.leave(connection, call, outcome)
+                self.finish_exchange(connection, call, outcome)
             report(endpoint, outcome, (self.loop.time() - call.started) * 1000.0)
--- a/tests/process_harness.py
+++ b/tests/process_harness.py
@@ -1,5 +1,6 @@
-"""Lives of a dispatcher on a disk that fails, in virtual time and without sockets: the real node, decisions
-and journal, one partner whose answers follow from the message, and a record of all that was seen outside."""
+"""Simulated dispatcher processes on a failing disk, in virtual time and without sockets: the real node,
+decision module and journal, a partner whose answers depend on the message id, and checks of all externally
+visible effects."""
 
 from __future__ import annotations
 
@@ -27,15 +28,20 @@
     {"name": "note", "effect": "repeatable", "aimMs": 1500.0, "hardLimitMs": 6000.0} | WORTH,
     {"name": "pay", "effect": "once", "aimMs": 2000.0, "hardLimitMs": 24000.0} | WORTH,
 ]
-WALL = 1_900_000_000.0  # Unix seconds at the start of virtual time
-DISK = 18_000.0  # bytes: small, so that compaction is always at work
-FIRST = {3: Outcome.FULL, 7: Outcome.ERROR, 8: Outcome.ERROR, 10: Outcome.CONNECT_FAILED}  # by number, mod 12
-CALL_S = 0.05  # a call's time
-HEARD_S = 0.03  # from a notice to the platform's word that it has heard
+WALL = 1_900_000_000.0  # Unix time in seconds when virtual time is 0
+DISK = 18_000.0  # journal size in bytes: small, so that compaction runs all the time
+FIRST = {
+    3: Outcome.FULL,
+    7: Outcome.ERROR,
+    8: Outcome.ERROR,
+    10: Outcome.CONNECT_FAILED,
+}  # first outcomes by message number modulo 12
+CALL_S = 0.05  # duration of a call
+HEARD_S = 0.03  # from a notice to its confirmation by the platform
 
 
 class Time:
-    """Virtual time: a loop's timers, and both clocks. A clock may step between lives."""
+    """Virtual loop with timers and both clocks. The wall clock may be stepped between processes."""
 
     def __init__(self) -> None:
         self.now, self.wall = 100.0, WALL
@@ -75,7 +81,7 @@
 
 
 class Wall:
-    """Stands for the module `time` in the node."""
+    """Replaces the module `time` in the node."""
 
     def __init__(self, time: Time) -> None:
         self.virtual = time
@@ -85,15 +91,16 @@
 
 
 class Partner:
-    """Stands for the node's endpoints: an attempt ends after `CALL_S`, as the message's id has it."""
+    """Replaces the node's endpoint pool: each attempt ends after `CALL_S`, with an outcome that depends on
+    the id."""
 
     def __init__(self, outside: Outside, life: int) -> None:
         self.outside, self.life, self.node = outside, life, None
 
-    def place(self, endpoint, place):
+    def set_endpoint(self, endpoint, entry):
         pass
 
-    bar = hang_up = place
+    remove_endpoint = close_idle = set_endpoint
 
     def cancel(self, message, number):
         pass
@@ -131,12 +138,12 @@
 
 
 class Outside:
-    """What clients, the partner and the platform saw, over all lives; `broken` has the rules broken."""
+    """What clients, the partner and the platform saw over all processes; `broken` lists violated rules."""
 
     def __init__(self) -> None:
         self.time = Time()
-        self.taken: dict[bytes, str] = {}  # ids that were answered +OK, and their class
-        self.unheard: dict[bytes, str] = {}  # ids that were sent though no client had heard +OK, likewise
+        self.taken: dict[bytes, str] = {}  # class by id, of messages answered with +OK
+        self.unheard: dict[bytes, str] = {}  # likewise, of messages sent before any +OK
         self.offered: dict[bytes, str] = {}
         self.answers: Counter[bytes] = Counter()
         self.sends: Counter[bytes] = Counter()
@@ -173,8 +180,8 @@
             self.broken.append(f"unsafe {name!r} was refused, but it may have run")
 
     def copy(self) -> Outside:
-        """As it is after a kill, for another life than the one that follows here."""
-        assert not self.time.queue, "its process still runs"
+        """A copy of the state after a crash, to continue with a different process."""
+        assert not self.time.queue, "the process still runs"
         other = Outside()
         other.time.now, other.time.wall = self.time.now, self.time.wall
         for name in SEEN:
@@ -196,7 +203,7 @@
 
 
 class SimulatedProcess:
-    """One process: starts on the folder, and is gone when a `Crash` comes out of any call."""
+    """A dispatcher process that starts on the folder; a `Crash` raised from any call ends it."""
 
     partner = Partner
     codecs = None
@@ -228,7 +235,7 @@
 
     def offer(self, name: bytes, cls: str, body: bytes = b"a body", remember: bool = False) -> None:
         self.outside.offered[name] = cls
-        if self.outside.told.get(name) == "bounced":  # handed in again behind its refusal: that end is over
+        if self.outside.told.get(name) == "bounced":  # resubmitted after its refusal, which no longer counts
             del self.outside.told[name]
 
         def answer(reply: Reply) -> None:
@@ -243,7 +250,7 @@
 
 
 def virtual(work, outside: Outside | None = None) -> None:
-    """Run a history, or what follows one: the node takes its times from the virtual clock meanwhile."""
+    """Run a scenario while the node reads the virtual clock."""
     outside = outside or Outside()
 
     async def run() -> None:
@@ -257,7 +264,7 @@
 
 
 def load(life: SimulatedProcess, first: int, count: int, size: int = 300, remember: bool = False) -> None:
-    """Messages of both classes, some together, over a second or so."""
+    """Submit messages of both classes, some at the same time, over about a second."""
     for number in range(first, first + count):
         life.offer(b"m%d" % number, ("note", "pay")[number % 2], bytes(size), remember)
         if number % 3 == 0:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors are few, and idle clients take all they are let have: the rest of the program finds its own."""
+"""File descriptors are scarce and idle clients use all they can get; the rest of the program still works."""
 
 import asyncio
 import contextlib
@@ -25,21 +25,21 @@
 from rushhitch.journal.commit import Committer
 from rushhitch.journal.files import Files
 
-FEW = 96  # descriptors of the process
-CROWD = 200  # idle clients: more than the process could hold
-AGAIN_S = 0.5  # one that is closed comes again after so long
-MOST_S = 2.0  # a client with work is let in by then, however many come
+FEW = 96  # descriptor limit of the process
+CROWD = 200  # idle clients, more than there are descriptors
+AGAIN_S = 0.5  # time until a closed client reconnects
+MOST_S = 2.0  # a client with a message is served by then, however many connect
 
 
 class Crowd:
-    """Clients that connect and rest, every second one after a PING, and come again when they are closed. They
-    take the addresses in turn."""
+    """Clients that connect and stay idle, every second one after a PING, and reconnect when closed. They use
+    the addresses in turn."""
 
     def __init__(self, *addresses):
         turns = zip(range(CROWD), itertools.cycle(addresses))
         self.tasks = [asyncio.ensure_future(self.stay(address, number % 2 == 0)) for number, address in turns]
         self.came = self.closed = 0
-        self.brim = asyncio.Event()  # one was closed or shut out: no more are let in
+        self.brim = asyncio.Event()  # set once a client was closed: the limit is reached
 
     async def stay(self, address, asks):
         while True:
@@ -64,7 +64,7 @@
 
 
 class Descriptors:
-    """Looks at how many the process holds."""
+    """Samples the number of descriptors of the process."""
 
     def __init__(self, program):
         self.program, self.most = program, 0
@@ -78,7 +78,7 @@
 
 
 async def served(program, name, cls="note", body=b"hello", dest=7):
-    """A client with work comes, and tries again where it is shut out, as the protocol lets it."""
+    """Submit a message with a new client, retrying if it is rejected, as the protocol allows."""
     async with asyncio.timeout(MOST_S):
         while True:
             with contextlib.suppress(OSError):
@@ -93,7 +93,7 @@
 
 
 async def take(partner, name):
-    """The partner is called with that message, and delivers it; others meanwhile are not answered."""
+    """Let the partner deliver that message; other calls are left unanswered."""
     while (request := await partner.next()).headers["x-correlation-id"] != name:
         pass
     request.answer(200)
@@ -118,7 +118,7 @@
 
 
 class AllListeners(Program):
-    """CloudEvents are taken, operators are answered, and the journal is synced beside the loop."""
+    """With a CloudEvents listener, a control address, and a journal that is synced in a thread."""
 
     async def start(self):
         control, events = getattr(self, "others", 2 * [("127.0.0.1", 0)])
@@ -175,8 +175,8 @@
             watch.chunk(json.dumps({"version": 42, "full": False, "servers": [row]}))
             first = max(segments(program))
             assert await served(program, b"held", "pay", dest=8) == b"+OK\r\n"
-            held = await program.partner.next()  # not answered, so that its segment cannot simply go
-            for number in range(14):  # each segment takes one of them, and half of the folder some twelve
+            held = await program.partner.next()  # not answered, so that its segment must be compacted
+            for number in range(14):  # one per segment, about twelve fill half of the folder
                 assert await served(program, b"m%d" % number, "note", bytes(12_000), 8) == b"+OK\r\n"
                 await take(program.partner, f"m{number}")
             assert max(segments(program)) >= first + 10 and min(segments(program)) > first
@@ -201,8 +201,8 @@
 
 @contextlib.contextmanager
 def none_left():
-    """This process gets no further descriptor, and one where one is closed: none below the limit is free."""
-    gc.collect()  # what earlier tests left would free some meanwhile
+    """Exhaust the descriptors of this process: a new one is available only after one is closed."""
+    gc.collect()  # garbage of earlier tests would free some meanwhile
     most = max(map(int, os.listdir("/proc/self/fd"))) + 1
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     taken = [os.dup(0)]
@@ -219,12 +219,12 @@
 
 
 def test_without_a_descriptor_an_idle_connection_gives_way_and_else_the_endpoint_is_not_blamed():
-    lower = os.dup(0)  # closed after the connection came up: the system deals out the lowest free one
+    lower = os.dup(0)  # closed once connected: the system assigns the lowest free descriptor
 
     @with_caller()
     async def _(caller):
         other = await Peer().start()
-        caller.endpoints.place("e2", EndpointEntry(other.address, 8, 1, State.READY))
+        caller.endpoints.set_endpoint("e2", EndpointEntry(other.address, 8, 1, State.READY))
         caller.send(1)
         request = await caller.partner.next()
         os.close(lower)
@@ -235,13 +235,13 @@
         assert await caller.result() == (Outcome.OK, True, 0.0)
         with none_left():
             caller.send(3, endpoint="e2")
-            assert await request.ended(), "the idle connection did not give way"
+            assert await request.ended(), "the idle connection was not evicted"
         await other.next()
         assert caller.endpoints.connections == 1
 
 
 def test_without_a_descriptor_accepting_rests_and_a_client_gives_way(monkeypatch):
-    # Guards against a loop that fails to accept again and again: it took a whole core.
+    # Retrying a failed accept in a loop used a whole CPU core.
     @with_server()
     async def _(server, acceptor):
         client = await connect(server)
@@ -251,7 +251,7 @@
             monkeypatch.setattr(listener, "ACCEPT_REST_S", 0.3)
             began, used = server.loop.time(), time.process_time()
             came.connect(server.address)
-            assert await client.line() == b"", "nobody gave way"
+            assert await client.line() == b"", "no client was evicted"
             came.sendall(b"*1\r\n$4\r\nPING\r\n")
             came.setblocking(False)
             assert await server.loop.sock_recv(came, 100) == b"+PONG\r\n"
@@ -286,7 +286,7 @@
 
 
 def test_who_takes_no_answers_and_gives_way_gives_its_descriptor_back():
-    # Guards against connections that are counted no more and stay open until their clients go.
+    # An evicted connection with unsent output must not stay open, uncounted, until its client disconnects.
     @with_server(most=8)
     async def _(server, acceptor):
         server.listeners[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
@@ -295,7 +295,7 @@
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             sock.connect(server.address)
-            sock.sendall(b"*1\r\n$4\r\nPING\r\n" * 2_000)  # whose answers fill what lies between
+            sock.sendall(b"*1\r\n$4\r\nPING\r\n" * 2_000)  # the answers fill the socket buffers
             crowd.append(sock)
         while len(server.clients) < 8 or any(c.resting or not c.asked for c in server.clients):
             await asyncio.sleep(0.01)
@@ -305,7 +305,7 @@
         for _ in range(8):
             clients.append(await connect(server))
             assert await clients[-1].ask(b"PING") == b"+PONG\r\n"
-        assert held_here() <= before + 8, "those who gave way are still held"
+        assert held_here() <= before + 8, "evicted connections are still open"
         for sock in crowd:
             sock.close()
         for client in clients:
@@ -313,7 +313,7 @@
 
 
 def test_a_sync_without_a_descriptor_is_tried_again_and_told_then(tmp_path):
-    # Guards against a committer that is dead after that: nobody would be answered any more.
+    # The committer must survive the failure; otherwise no client would be answered any more.
     class Few(Files):
         left = 0
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""What is still owed when a process, a connection or a call ends: the crossing is forced on real sockets."""
+"""Races at the end of a process, a connection or a call, forced on real sockets: nothing owed is lost."""
 
 import asyncio
 import json
@@ -22,18 +22,18 @@
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.journal import Journal
 
-SYN_SENT = "02"  # of a connection in /proc/net/tcp
+SYN_SENT = "02"  # connection state in /proc/net/tcp
 
 
 class Unreached:
-    """An address at which connections do not come up until the test lets them: its queue is full."""
+    """An address with a full accept queue: connections are not established until the test allows it."""
 
     def __init__(self):
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=0)
         self.listener.setblocking(False)
         self.address = self.listener.getsockname()
         self.queued = []
-        while not self.knocks():  # until one does not come up: the queue is full
+        while not self.knocks():  # until a connection stays pending
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(self.address)
@@ -41,7 +41,7 @@
         self.own = self.knocks()
 
     def knocks(self):
-        """How many wait to come up."""
+        """The number of pending connections."""
         remote = f"0100007F:{self.address[1]:04X}"
         rows = (line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:])
         return sum(1 for row in rows if row[2] == remote and row[3] == SYN_SENT)
@@ -60,13 +60,13 @@
 
 
 class Elsewhere(Program):
-    """With its partner at an address that can be moved."""
+    """With a partner whose address the test can change."""
 
     at = None
 
     def config(self):
         told = super().config()
-        told["settings"]["policyLimits"]["connectTimeoutMs"] = 20_000.0  # longer than leaving takes
+        told["settings"]["policyLimits"]["connectTimeoutMs"] = 20_000.0  # longer than a shutdown takes
         if self.at is not None:
             told["known"]["servers"][0]["addr"] = "{}:{}".format(*self.at)
         return told
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("end", [signal.SIGKILL, signal.SIGTERM])
 def test_an_unsafe_message_whose_connection_was_not_up_at_the_end_is_tried_by_the_next_process(tmp_path, end):
-    # Guards against a record of an attempt before anything can have left: the message would be failed unsent.
+    # If the attempt were recorded before the connection is up, the message would be failed without a call.
     @with_program(tmp_path, Elsewhere)
     async def _(program):
         unreached = Unreached()
@@ -105,9 +105,9 @@
 @pytest.mark.parametrize("end", [signal.SIGKILL, signal.SIGTERM])
 @pytest.mark.parametrize("cls", ["note", "pay"])
 def test_all_that_a_restart_finds_untried_gets_a_call(tmp_path, monkeypatch, end, cls):
-    # A full house, which is smaller after the restart: three hold all slots that one partner may have when
-    # the process ends, the others have had no call. (What may be repeated has further ones before SIGTERM.)
-    # Each notice comes once, as a busy platform's answer is waited for.
+    # The limit of open messages is reached, and is lower after the restart. When the process ends, three
+    # messages hold all slots of the partner and the others had no call (repeatable ones get further calls
+    # before SIGTERM). Each notice arrives once, since the answer of a slow platform is awaited.
     (tmp_path / "sitecustomize.py").write_text(PATIENT)
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path}:{ROOT}")
 
@@ -126,7 +126,7 @@
         names = [b"m%d" % number for number in range(18)]
         for name in names:
             assert await client.add(name, cls) == b"+OK\r\n"
-        out = [await program.partner.next() for _ in range(3)]  # three quarters of four slots, one partner
+        out = [await program.partner.next() for _ in range(3)]  # one partner may use three of four slots
         tried = {request.headers["x-correlation-id"].encode() for request in out}
         await program.answers_noted()
         program.process.send_signal(end)
@@ -156,7 +156,7 @@
         for task in tasks:
             task.cancel()
         untried = set(names) - tried
-        assert untried <= calls.keys(), f"given up with no call: {sorted(untried - calls.keys())}"
+        assert untried <= calls.keys(), f"ended without a call: {sorted(untried - calls.keys())}"
         assert cls == "note" or all(count == 1 for count in calls.values())
         assert ends == ({(name, "dead"): 1 for name in tried} if cls == "pay" else {})
 
@@ -166,7 +166,7 @@
 
 
 def test_what_was_resumed_untried_is_sent_with_less_time_than_a_call_takes():
-    # Guards against a new process's guess of how long calls take, by which messages are given up unsent.
+    # A new process only estimates the duration of calls; that must not end a message without a call.
     harness = DispatcherHarness(Entry("e1", 1))
     usual = harness.dispatcher.expected_ms["notice"]
     for message, left in enumerate((1.0, usual / 4, usual / 2, usual * 2)):
@@ -194,7 +194,7 @@
 
 @pytest.mark.parametrize("left", [b"m0", b"m1"])
 def test_a_message_that_ends_while_the_connection_of_its_batch_comes_up_is_not_written(left):
-    # Guards against a message that its client took back, or that was told as refused, and runs all the same.
+    # A message that was withdrawn or refused while connecting must not run.
     async def work():
         caller = await Caller().start(batch=4)
         go_on, connect = asyncio.Event(), caller.endpoints.connect
@@ -227,7 +227,7 @@
             caller.endpoints.begin,
             lambda endpoint, attempts, go: go(attempts[:1]),
         )
-        caller.send(0, 1)  # in one call: its bytes hold both
+        caller.send(0, 1)  # one call, whose bytes contain both
         for _ in range(2):
             assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         caller.endpoints.begin = begin
@@ -241,7 +241,8 @@
 
 
 def test_a_message_waits_for_a_list_that_names_its_destination_and_the_list_is_asked_for_at_once(tmp_path):
-    # Many dispatchers spread their first ask, this one by its seed over 4.4 s; the message has not so long.
+    # Many dispatchers spread their first request, this one by 4.4 s due to its seed; the message expires
+    # earlier.
     class Lost(Program):
         lost = False
 
@@ -273,7 +274,7 @@
 
 
 def test_a_configuration_that_cannot_even_be_read_leaves_the_old_one_and_the_next_is_taken(tmp_path):
-    # Guards against an error of another kind than was thought of, after which no SIGHUP is heard any more.
+    # An error of an unexpected type must not end the handling of SIGHUP.
     @with_program(tmp_path)
     async def _(program):
         await program.start()
@@ -304,8 +305,8 @@
 
 @pytest.mark.parametrize("batch", [1, 4])
 def test_an_answer_that_comes_in_the_instant_of_the_exit_counts(tmp_path, monkeypatch, batch):
-    # The loop stands still from its last poll on, until the system has the answer: unsafe messages that were
-    # delivered would be told as failed.
+    # The loop is blocked after its last poll until the answer is in the socket buffer. If it were not read,
+    # unsafe messages that were delivered would be reported as failed.
     (tmp_path / "sitecustomize.py").write_text(FROZEN)
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path}:{ROOT}")
     monkeypatch.setenv("GO_ON", str(tmp_path / "go"))
@@ -328,8 +329,8 @@
 
 
 async def at_the_exit(folder, answer, batch=1):
-    """A node with one call out, of unsafe messages, and a partner whose answer comes after the last poll;
-    what its journal tells then."""
+    """Shut down a node with one call of unsafe messages in flight whose answer arrives after the last poll;
+    returns for each message left in the journal whether it may have run."""
     told = json.loads(json.dumps(TOLD)) | {"categories": [UNSAFE | WORTH]}
     told["familyInfo"]["batchByKind"] = [batch]
     settings = parse_settings(json.dumps(told).encode())
@@ -347,7 +348,7 @@
         await asyncio.sleep(0.005)
     transfer = StateTransfer(node)
     await transfer.freeze()
-    partner.sendall(answer)  # the loop has not polled since
+    partner.sendall(answer)  # the loop has not polled yet
     started = loop.time()
     await transfer.end_calls()
     assert loop.time() - started < 1.0 and not node.endpoints.calls
@@ -365,7 +366,7 @@
     [
         (b"", [True]),
         (WHOLE % (200, 0), []),
-        (b"HTTP/1.1 200 OK\r\n", []),  # its first line is whole, and proves the delivery
+        (b"HTTP/1.1 200 OK\r\n", []),  # the complete status line proves the delivery
         (b"HTTP/1.1 200 OK", [True]),
         (WHOLE % (503, 0), [False]),
         (WHOLE[:-2] % (503, 0), [True]),
@@ -384,7 +385,7 @@
 
 
 def test_at_the_exit_an_answer_that_never_ends_is_not_waited_for(tmp_path, monkeypatch):
-    monkeypatch.setattr(Connection, "has_no_input", lambda self: False)  # more has come at each look
+    monkeypatch.setattr(Connection, "has_no_input", lambda self: False)  # more data at each check
     run(checked(tmp_path, WHOLE % (200, 1), 1, []))
 
 
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Calls to an endpoint over loopback: every way in which one can end, the pool, batches and waits."""
+"""Calls to an endpoint over loopback: all outcomes, the connection pool, batches and retry-after waits."""
 
 import asyncio
 import socket
@@ -15,7 +15,7 @@
 
 
 class Caller:
-    """`EndpointPool` with one endpoint, a partner that the test plays, and the results as they come."""
+    """An `EndpointPool` with one endpoint, a partner controlled by the test, and a queue of results."""
 
     async def start(self, batch=1, **changes):
         self.partner = await Peer().start()
@@ -26,7 +26,7 @@
         return self
 
     def list(self, address, state=State.READY):
-        self.endpoints.place("e1", EndpointEntry(address, 7, self.batch, state))
+        self.endpoints.set_endpoint("e1", EndpointEntry(address, 7, self.batch, state))
 
     def send(self, *messages, body=b"hello", patience=30.0, endpoint="e1"):
         stop_at = asyncio.get_running_loop().time() + patience
@@ -81,7 +81,7 @@
 
 
 def test_a_break_before_the_last_byte_is_written_proves_that_nothing_ran():
-    # Guards against taking a request that was cut off for one that may have run: an unsafe one would be lost.
+    # If an incomplete request counted as one that may have run, an unsafe message would be lost.
     async def cut_off(reader, writer):
         await reader.read(100)
         writer.transport.abort()
@@ -94,11 +94,11 @@
         assert await caller.result() == (Outcome.CONNECT_FAILED, False, 0.0)
 
 
-LONG_S = 20.0  # a look that ends with the break it waits for, or fails the test
+LONG_S = 20.0  # the liveness check ends with the reset it waits for, or the test fails
 
 
 def test_a_reset_while_the_request_comes_in_proves_that_nothing_ran(monkeypatch):
-    # Guards against losing an unsafe message to a network that resets: its request was never whole.
+    # The request was never complete, so a reset must not cost an unsafe message its retry.
     monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", LONG_S)
     monkeypatch.setattr(connection, "MAX_LAST_BYTE_DELAY_S", LONG_S)
 
@@ -115,7 +115,7 @@
 
 
 def test_a_call_on_a_connection_that_had_died_unseen_goes_on_another():
-    # Guards against connections that the other side, or what stands between, dropped as idle without a word.
+    # The peer or a middlebox dropped the idle connection silently.
     async def drops(reader, writer):
         await reader.readuntil(b"hello")
         writer.write(b"HTTP/1.1 200 x\r\nContent-Length: 0\r\n\r\n")
@@ -189,7 +189,7 @@
 
 
 def test_a_connection_that_its_other_side_has_ended_is_not_written_to():
-    # Guards against a stale connection: what is written to it ends as a reset, and an unsafe message is lost.
+    # A call on a stale connection ends with a reset, and an unsafe message would be lost.
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -211,7 +211,7 @@
         caller.send(1)
         request = await caller.partner.next()
         request.answer(200)
-        request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")  # nobody asked for it
+        request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")  # unsolicited
         await caller.result()
         caller.send(2)
         again = await caller.partner.next()
@@ -247,12 +247,12 @@
 
 
 def test_no_more_connections_are_open_than_the_sockets_allow():
-    # Guards against running out of descriptors: an idle connection gives way, and else nothing is sent.
+    # Descriptors must not run out: an idle connection is evicted, and if there is none nothing is sent.
     @with_caller()
     async def _(caller):
-        caller.endpoints.most = 2
+        caller.endpoints.max_connections = 2
         other = await Peer().start()
-        caller.endpoints.place("e2", EndpointEntry(other.address, 8, 1, State.READY))
+        caller.endpoints.set_endpoint("e2", EndpointEntry(other.address, 8, 1, State.READY))
         caller.send(1)
         first = await caller.partner.next()
         first.answer(200)
@@ -337,8 +337,8 @@
     ],
 )
 def test_a_spoilt_answer_may_have_run_unless_its_first_line_says_200(spoilt, ends, monkeypatch):
-    # Guards against sending an unsafe message again that has run, and against waiting for what never ends.
-    monkeypatch.setattr(endpoints, "REST_S", 0.2)
+    # An unsafe message that has run must not be retried, and an endless answer must not be awaited.
+    monkeypatch.setattr(endpoints, "RESPONSE_REMAINDER_S", 0.2)
 
     @with_caller()
     async def _(caller):
@@ -394,7 +394,7 @@
         caller.send(1)
         request = await caller.partner.next()
         begun = asyncio.Event()
-        caller.endpoints.hurry = lambda limit: begun.set()
+        caller.endpoints.limit_remaining_time = lambda limit: begun.set()
         request.writer.write(ENDLESS)
         await begun.wait()
         caller.endpoints.cancel(1, 0)
@@ -403,8 +403,8 @@
 
 
 def test_of_an_endpoint_that_has_gone_nothing_is_kept_and_nothing_is_sent_there():
-    # Guards against growth, against the connection of one endpoint for another at its address, and against
-    # a send to one just gone that takes the turn's other sends with it.
+    # State of removed endpoints must not accumulate, a connection must not be reused for another endpoint at
+    # the same address, and a send to a removed endpoint must not fail the other sends of the turn.
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -413,7 +413,7 @@
         await caller.result()
         caller.send(2)
         out = await caller.partner.next()
-        caller.endpoints.bar("e1")
+        caller.endpoints.remove_endpoint("e1")
         out.answer(200)
         assert await caller.result() == (Outcome.OK, True, 0.0)
         assert await request.ended()
@@ -435,7 +435,7 @@
         first, second = await caller.partner.next(), await caller.partner.next()
         first.answer(200)
         await caller.result()
-        caller.endpoints.keep_s = 0.0
+        caller.endpoints.idle_limit_s = 0.0
         second.answer(200)
         await caller.result()
         assert await first.ended()
@@ -469,8 +469,8 @@
 
 @pytest.mark.parametrize(("status", "body"), ENDS_OF_TWO)
 def test_the_answer_to_a_batch_of_which_one_message_was_given_up_proves_nothing(status, body):
-    # Guards against messages that are lost: to the other side the whole call may be given up, and an answer
-    # to it counts for none of its messages. They may have run, so unsafe ones are not sent again either.
+    # The partner may treat the whole call as given up, so its answer counts for no message of it. They may
+    # have run, so unsafe ones must not be retried either.
     @with_caller(batch=20, second_copies=True)
     async def _(caller):
         caller.send(1, 2)
@@ -478,14 +478,14 @@
         caller.endpoints.cancel(1, 0)
         assert (await caller.result())[0] is Outcome.CANCELLED
         request.answer(status, body, X_Come_Back_Ms="20000")
-        assert await caller.result() == (Outcome.ERROR, False, 20_000.0), "a told wait is heeded all the same"
+        assert await caller.result() == (Outcome.ERROR, False, 20_000.0), "the retry-after was ignored"
         assert caller.results.empty()
 
 
 @pytest.mark.parametrize("second_copies", [False, True])
 def test_a_batch_ends_as_a_whole_with_the_first_time_that_is_up(second_copies):
-    # Guards against a late answer that is believed for those who had more time, and against a message that is
-    # tried again while its batch is still out on an open connection.
+    # A late answer must not count for messages with a later deadline, and no message may be retried while its
+    # batch is still in flight.
     @with_caller(batch=20, second_copies=second_copies)
     async def _(caller):
         now = asyncio.get_running_loop().time()
@@ -499,7 +499,7 @@
 
 @pytest.mark.parametrize("batch", [1, 4])
 def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_sent(batch):
-    # Guards against a repeat that was decided in time, waits for its connection and then counts twice.
+    # A retry that was decided in time but waits for its connection would count twice at the partner.
     @with_caller(batch=batch)
     async def _(caller):
         loop = asyncio.get_running_loop()
@@ -521,7 +521,7 @@
 
 @pytest.mark.parametrize("bar", ["wait", "drain", "move"])
 def test_a_call_whose_connection_comes_up_after_a_told_wait_a_drain_or_a_move_is_not_sent(bar):
-    # Guards against a send that was decided while the way was open but leaves when it is barred.
+    # The decision was made before the endpoint became unavailable; the call must not be sent afterwards.
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -547,10 +547,10 @@
             held = await connecting
             caller.list(("127.0.0.1", 9))
 
-            async def connected(call):
+            async def obtain_connection(call):
                 return held
 
-            caller.endpoints.connected = connected
+            caller.endpoints.obtain_connection = obtain_connection
             caller.endpoints.send("e1", [Attempt(3, 0, b"m3", b"", asyncio.get_running_loop().time() + 30.0)])
             assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
             assert caller.partner.requests.empty()
@@ -584,13 +584,13 @@
     @with_caller()
     async def _(caller):
         async def broken(*_):
-            raise RuntimeError("a fault of our own")
+            raise RuntimeError("injected fault")
 
         caller.endpoints.request = broken
         caller.send(1)
         assert await caller.result() == (Outcome.CONNECT_FAILED, False, 0.0)
 
-    assert "a fault of our own" in caplog.text and "Traceback" in caplog.text
+    assert "injected fault" in caplog.text and "Traceback" in caplog.text
 
 
 @pytest.mark.parametrize(("status", "outcome"), [(200, Outcome.OK), (503, Outcome.FULL)])
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""EndpointPool that operators take out and give back: the decisions, the door to the sockets, the file."""
+"""Endpoints detached and attached by operators: decisions, endpoint pool, and the stored list of bans."""
 
 import asyncio
 import errno
@@ -39,7 +39,7 @@
     harness = DispatcherHarness(FIRST, SECOND)
     harness.arrive(1)
     (out,) = harness.where(1)
-    harness.end(1, Outcome.ERROR)  # the next try would stay at the first endpoint
+    harness.end(1, Outcome.ERROR)  # the retry would go to the same endpoint
     harness.feed(Detached(out))
     harness.pass_ms(3000, timeouts=False)
     assert harness.where(1)[1:] and out not in harness.where(1)[1:]
@@ -88,7 +88,7 @@
     actions = harness.feed(Attached("e1"))
     assert [a.cold for a in actions if isinstance(a, RecordColdState)] == [True]
     harness.arrive_together(100, 101, 102, 103, 104)
-    assert len(harness.sends()) <= 1, "a burst for what has just started"
+    assert len(harness.sends()) <= 1, "a burst of calls to a cold endpoint"
     harness.answer_all(4000, 50)
     assert all(harness.answers.get(message) == "served" for message in range(100, 105))
 
@@ -123,7 +123,7 @@
 
 
 class BanMachine(RuleBasedStateMachine):
-    """Bans, lists and messages in any order: no send goes to what is out, and the counts agree."""
+    """Bans, lists and messages in any order: nothing is sent to a detached endpoint, and the counts agree."""
 
     def __init__(self):
         super().__init__()
@@ -189,7 +189,7 @@
 
         async def slow(endpoint):
             connection = await connect(endpoint)
-            OperatorCommands(bench.node).detach(endpoint)  # while the connection is coming up
+            OperatorCommands(bench.node).detach(endpoint)  # while the connection is being established
             started.append(endpoint)
             return connection
 
@@ -213,7 +213,7 @@
         bench.offer()
         OperatorCommands(bench.node).detach(
             "e1"
-        )  # before the turn that would send it: the module hears of it last
+        )  # before the turn that would send it: last event for the module
         assert await bench.answers.get() == ACCEPTED
         await asyncio.sleep(0.1)
         assert bench.partner.requests.empty() and bench.partner.connections == 0
@@ -234,7 +234,7 @@
         )
         OperatorCommands(bench.node).detach("e1")
         assert DetachedEndpoints(bench.journal).ids == {"e1"}
-        bench.node.registry.left.clear()  # long ago
+        bench.node.registry.recently_removed.clear()  # long ago
         OperatorCommands(bench.node).attach("e1")
         assert DetachedEndpoints(bench.journal).ids == set()
 
@@ -255,7 +255,7 @@
 
 
 def test_a_ban_that_was_refused_is_not_there_after_a_restart(tmp_path, monkeypatch):
-    # The file was replaced, and its folder could not be synced: the operator heard NAK.
+    # The file was replaced but its folder could not be synced; the operator received NAK.
     def fail():
         raise OSError(errno.EIO, "an error of the disk")
 
@@ -279,7 +279,7 @@
 
 
 class Stopping(Files):
-    """Ends the process's life, as it were, before its n-th operation."""
+    """Simulates a crash before the n-th file operation."""
 
     left = 10**9
 
@@ -294,7 +294,7 @@
 
     def write(self, fd, data):
         self.step()
-        if self.left == 0 and len(data) > 4:  # killed in the middle of it
+        if self.left == 0 and len(data) > 4:  # crash in the middle of a write
             return super().write(fd, data[:4])
         return super().write(fd, data)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -243,7 +243,7 @@
 
 def test_nothing_grows_where_endpoints_ids_and_keys_are_ever_new(tmp_path, monkeypatch):
     # Guards against memory that grows with each endpoint and message that has ever been.
-    monkeypatch.setattr(endpoint_registry, "LINGER_S", 0.0)
+    monkeypatch.setattr(endpoint_registry, "DESTINATION_RETENTION_S", 0.0)
 
     @with_bench(tmp_path)
     async def _(bench):
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""No effect of a request follows its end: kills behind answers, half-closed clients, the exit."""
+"""No effect of a request follows its end: crashes right after answers, half-closed clients, shutdown."""
 
 import asyncio
 import errno
@@ -22,8 +22,8 @@
 from rushhitch.journal.files import Files
 
 CLIENTS = 18
-SOON_S = 2.0  # far below the time that a message has here
-QUIET_S = 1.0  # a restarted process sends what it resumes well within this
+SOON_S = 2.0  # far less than the time to the deadline
+QUIET_S = 1.0  # a restarted process sends resumed messages well within this time
 
 KILL_BEHIND_ANSWER = """import os, signal, socket
 
@@ -44,7 +44,7 @@
 
 
 def with_shim(folder, monkeypatch, source):
-    """Run the program with this module loaded into it at its start."""
+    """Load this module into the program at its start."""
     (folder / "sitecustomize.py").write_text(source)
     monkeypatch.setenv("PYTHONPATH", f"{folder}:{ROOT}")
 
@@ -54,7 +54,7 @@
 
 
 async def all_at_once(program, clients, cls="pay"):
-    """Each client hands in one message; all are read in the same tick, since the process stands still."""
+    """Each client submits one message while the process is stopped, so that all are read in the same tick."""
     program.process.send_signal(signal.SIGSTOP)
     for number, client in enumerate(clients):
         client.send(b"OUT.ADD", b"0" * 16, b"m%d" % number, f"c={cls},d=6000,dest=7".encode(), b"hello")
@@ -63,7 +63,7 @@
 
 
 async def answer_of(client):
-    """The client's answer; nothing where its connection ends without one."""
+    """The client's answer; empty if the connection ends without one."""
     try:
         return await client.line()
     except ConnectionError:
@@ -71,7 +71,7 @@
 
 
 def notices_so_far(program):
-    """What the platform was told up to now."""
+    """The notices that the platform has received so far."""
     notices = []
     while not program.platform.requests.empty():
         request = program.platform.requests.get_nowait()
@@ -81,7 +81,7 @@
 
 
 async def sent_within(program, seconds):
-    """The ids of all messages that reach the partner meanwhile; each call is answered."""
+    """The ids of all messages that reach the partner in that time; each call is answered."""
     ids = []
     try:
         async with asyncio.timeout(seconds):
@@ -94,8 +94,8 @@
 
 
 def test_after_a_kill_behind_an_answer_only_what_was_answered_goes_out(tmp_path, monkeypatch):
-    # Guards against one record for a whole tick: clients that never had an answer would be served by the
-    # next process, and have handed their messages in anew by then.
+    # With one journal record for the whole tick, the next process would send messages of clients that were
+    # never answered and have resubmitted them by then.
     for nth in (1, 2, 9, 17):
         folder = tmp_path / str(nth)
         folder.mkdir()
@@ -114,7 +114,7 @@
             await program.start()
             sent = set(await sent_within(program, QUIET_S))
             told = {notice["ref"].encode() for notice in notices_so_far(program)}
-            assert sent <= heard and heard <= sent | told  # told: what was out already at the kill
+            assert sent <= heard and heard <= sent | told  # told: calls in flight at the crash
 
 
 def test_a_client_that_ends_its_sending_after_its_request_gets_an_answer(tmp_path):
@@ -131,8 +131,8 @@
 
 
 def test_a_request_that_comes_whole_in_the_last_moment_before_the_exit_gets_an_answer(tmp_path):
-    # Each client sends half a request before its connection could be closed between requests, and the rest
-    # at its own moment around the exit. A reset tells it that its request was not read; an end does not.
+    # Each client sends half a request before idle connections are closed, and the rest at a different time
+    # around the exit. A reset tells the client that its request was not read; a regular close does not.
     @run_with_program(Program(tmp_path))
     async def _(program):
         clients = [await program.client() for _ in range(60)]
@@ -162,11 +162,15 @@
     async def _(program):
         client, other = await program.client(), await program.client()
         assert await client.ask(b"PING") == b"+PONG\r\n"
-        assert await other.add(b"m1", left_ms=6000) == b"+OK\r\n"  # has no answer: the process waits for it
+        assert (
+            await other.add(b"m1", left_ms=6000) == b"+OK\r\n"
+        )  # its call is unanswered: the process waits for it
         started = asyncio.get_running_loop().time()
         program.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(started + 1.8 - asyncio.get_running_loop().time())
-        client.writer.write(b"*1\r\n$4\r\nPI")  # it stands within a request as connections finish, at 2 s
+        client.writer.write(
+            b"*1\r\n$4\r\nPI"
+        )  # in the middle of a request when idle connections are closed, at 2 s
         await asyncio.sleep(started + 2.3 - asyncio.get_running_loop().time())
         client.writer.write(b"NG\r\n" + b"*1\r\n$4\r\nPING\r\n" * 2)
         assert [await answer_of(client) for _ in range(3)] == [b"+PONG\r\n"] * 3
@@ -174,7 +178,7 @@
 
 @pytest.mark.parametrize("ended", [0, 1])
 def test_a_message_that_ends_while_its_last_byte_is_held_back_is_not_in_the_call(monkeypatch, ended):
-    # Its bytes are in the body that is half written: the call is dropped, and the other message has not run.
+    # The body, partly written, contains it: the call is dropped, and the other message has not run.
     monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", 0.1)
 
     async def work():
@@ -197,8 +201,8 @@
 
 
 def test_no_attempt_is_recorded_while_its_last_byte_is_held_back(tmp_path, monkeypatch):
-    # Guards against a kill in that time: the next process would take a message that never left for one that
-    # may have run, and give an unsafe one up with no call.
+    # After a crash in that time, the next process would take the message for one that may have run, and fail
+    # an unsafe one without a call.
     monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", 0.5)
     monkeypatch.setattr(connection, "MAX_LAST_BYTE_DELAY_S", 0.5)
 
@@ -209,7 +213,7 @@
         while bench.partner.connections == 0:
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.05)
-        assert bench.partner.requests.empty(), "its last byte was to wait longer than that"
+        assert bench.partner.requests.empty(), "the last byte was not held back"
         assert not Journal(tmp_path / "state", 3e6, writable=False).live[1].out
         await bench.partner.next()
         assert Journal(tmp_path / "state", 3e6, writable=False).live[1].out
@@ -233,7 +237,7 @@
 
 
 def test_a_message_that_ends_while_a_call_looks_for_another_connection_is_not_in_it():
-    # The kept connection dies under the call, and connecting anew takes a while.
+    # The idle connection breaks during the call, and connecting again takes a while.
     async def work():
         caller = await Caller().start(batch=4)
         over, reached, go_on = set(), asyncio.Event(), asyncio.Event()
@@ -268,7 +272,7 @@
 
 
 def test_an_answer_that_cannot_be_written_any_more_takes_the_acceptance_back(tmp_path):
-    # Guards against a connection that closes in the step of the answer: the message stood as accepted.
+    # The connection closed while the answer was written, and the message stayed accepted.
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.offer(OFFER, lambda reply: False)
@@ -288,7 +292,7 @@
 
 
 def test_a_record_of_acceptance_that_the_disk_does_not_take_never_comes_to_be(tmp_path, monkeypatch):
-    # Guards against the retry that writes it later: its client was told that nothing was done.
+    # The retried write must not store it later: the client was told that nothing was done.
     @with_bench(tmp_path)
     async def _(bench):
         failing = [True]
@@ -312,7 +316,8 @@
 
 
 def test_an_end_that_the_disk_does_not_take_is_told_as_the_time_is_up_and_not_before(tmp_path, monkeypatch):
-    # Before, a kill could make the next process send what was told as ended; afterwards it sends nothing.
+    # Before the deadline, a crash could make the next process send a message reported as ended; later it
+    # cannot.
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.offer(Submission(b"m1", "pay", 7, 700.0, b"hello"), bench.answers.put_nowait)
@@ -324,14 +329,14 @@
             raise OSError(errno.EIO, "the disk fails")
 
         monkeypatch.setattr(Files, "write", fails)
-        request.answer(500)  # it may have run: that is its end
+        request.answer(500)  # it may have run, so it ends
         assert await bench.ends.get() == (1, b"m1", "dead", 0.0)
         took = asyncio.get_running_loop().time() - started
         assert 0.6 <= took <= 0.7 + 0.25, took
 
 
 def test_a_final_answer_ends_a_message_whose_earlier_call_was_out_at_a_kill(tmp_path):
-    # Guards against waiting for an outcome that nobody will hear, until the message's time is up.
+    # Nobody receives the outcome of the earlier call, so waiting for it would last until the deadline.
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer()
@@ -352,7 +357,8 @@
 
 
 def test_a_refusal_that_the_disk_does_not_take_is_told_as_the_next_process_would(tmp_path, monkeypatch):
-    # Guards against two ends for one message: after a kill, its attempt has no outcome and may have run.
+    # After a crash the attempt has no outcome and may have run; the message would get a second, different
+    # end.
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer(Submission(b"m1", "pay", 7, 700.0, b""))
@@ -367,18 +373,19 @@
 
 
 def test_a_wait_that_a_call_of_the_process_before_was_told_binds_though_its_message_is_over(tmp_path):
-    # Guards against calls within the wait: the message had its end before its call's answer came.
+    # The message ended before the answer of its call, but the retry-after of that answer must be obeyed.
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.inherited[9, 0] = InheritedAttempt(9, 0, "e1", 1, 0.0, 0.0)
         StateTransfer(bench.node).inherited_attempt_ended(9, 0, Outcome.FULL, wait_ms=5_000.0)
         lane = bench.node.endpoints.entries["e1"].lane
-        assert bench.node.endpoints.waits[lane] > bench.node.loop.time() + 4.0
+        assert bench.node.endpoints.retry_after[lane] > bench.node.loop.time() + 4.0
 
 
 @pytest.mark.parametrize("called", [False, True])
 def test_a_request_that_its_client_sends_once_more_behind_a_loss_is_no_new_message(tmp_path, called):
-    # Guards against one that is sent on though its id was told as bounced: its client saw a reset, no answer.
+    # The client saw a reset and no answer. The resubmission must not be sent if its id was reported as
+    # bounced.
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer()
@@ -387,7 +394,7 @@
             request = await bench.partner.next()
         bench.node.abandon(1, "its client's connection broke")
         bench.offer()
-        if called:  # its end is owed still
+        if called:  # its end is still owed
             assert await bench.answers.get() == ACCEPTED
             request.answer(500)
             assert (await bench.ends.get())[2] == "dead"
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -1,5 +1,5 @@
-"""The window in which the key of a message keeps a repeat from counting twice, over a restart: what arrives
-is measured from outside, at the partner."""
+"""Deduplication windows across a restart: a retry may reach its partner only while the partner still
+recognises its key. Arrivals are measured at the partner."""
 
 import asyncio
 import json
@@ -38,13 +38,13 @@
 
 WINDOW_S = 1.0
 BERTH = {"name": "berth", "effect": "by_key", "group": "all", "windowMs": WINDOW_S * 1000.0} | WORTH
-BERTH |= {"aimMs": 6000.0, "hardLimitMs": 20_000.0}  # nothing times out in a process of these tests
-GAPS_S = (0.3, 0.9, 1.5)  # from a process's end to the next start
-SLACK_S = 0.05  # of each time limit on real sockets
+BERTH |= {"aimMs": 6000.0, "hardLimitMs": 20_000.0}  # no call times out in these tests
+GAPS_S = (0.3, 0.9, 1.5)  # from the end of a process to the next start
+SLACK_S = 0.05  # tolerance of time limits on real sockets
 
 
 class Harbour(Program):
-    """With a class of which repeats count once for a second, and a partner that may be moved."""
+    """With a class whose retries are deduplicated for one second, and a partner whose address can change."""
 
     at = None
     window_ms = WINDOW_S * 1000.0
@@ -64,14 +64,14 @@
 
 @dataclass
 class Seen:
-    """What the partner and the platform saw of each message, by the clock of the test."""
+    """What the partner and the platform saw of each message, in loop time of the test."""
 
     calls: dict[str, list[float]] = field(default_factory=dict)
     dead: set[str] = field(default_factory=set)
-    lag_s: float = 0.0  # how late the test itself was, at most
+    lag_s: float = 0.0  # largest delay of the test's own loop
 
     async def hear(self, program, answers):
-        """From now on calls are noted, and answered where that is wanted; notices are taken."""
+        """Record calls, answer them once `answers` is set, and accept notices."""
         loop = asyncio.get_running_loop()
 
         async def called():
@@ -102,7 +102,8 @@
 
 
 async def restarted(folder, end, gap_s, names, apart_s, window_ms=WINDOW_S * 1000.0):
-    """Messages so far apart, each with one call out at the end of its process; all that came of them."""
+    """Submit messages `apart_s` apart, end the process while each has one call in flight, and restart it
+    after `gap_s`; returns what was seen of them."""
     folder.mkdir()
     program, seen, answers = await Harbour(folder).start_doubles(), Seen(), asyncio.Event()
     program.window_ms = window_ms
@@ -130,8 +131,8 @@
 
 @pytest.mark.parametrize("end", [signal.SIGKILL, signal.SIGTERM], ids=["SIGKILL", "SIGTERM"])
 def test_over_a_restart_a_repeat_reaches_its_partner_in_its_window_or_not_at_all(tmp_path, end):
-    # Three restarts side by side: after the longest rest each window is over, after the shortest none is, as
-    # slow as the start may be; the one between is as it comes. SIGTERM takes a process 3.3 s.
+    # Three restarts in parallel: after the longest gap all windows are over; after the shortest none is, even
+    # if the start is slow; the one between may go either way. Shutdown after SIGTERM takes 3.3 s.
     windows_s = (15.0, 1.6 if end is signal.SIGKILL else 5.2, WINDOW_S)
     names = ["m0", "m1", "m2"]
 
@@ -145,9 +146,9 @@
                 first, *again = seen.calls[name]
                 late = max((at - first - window_s for at in again), default=0.0)
                 assert late <= SLACK_S + seen.lag_s, f"{name} came {late:.3f} s after its window"
-                assert again or name in seen.dead, f"{name} was neither repeated nor told"
-                assert again or window_s < 15.0, f"{name} was not repeated"
-                assert not again or window_s > WINDOW_S, f"{name} was repeated"
+                assert again or name in seen.dead, f"{name} was neither retried nor reported"
+                assert again or window_s < 15.0, f"{name} was not retried"
+                assert not again or window_s > WINDOW_S, f"{name} was retried"
 
     run(work())
 
@@ -160,7 +161,7 @@
 def test_a_repeat_whose_connection_comes_up_after_the_window_of_the_process_before_is_not_sent(
     tmp_path, monkeypatch, end, loop
 ):
-    window_s = 3.2 if end is signal.SIGKILL else 6.8  # SIGTERM takes a process 3.3 s
+    window_s = 3.2 if end is signal.SIGKILL else 6.8  # shutdown after SIGTERM takes 3.3 s
     (tmp_path / "own.toml").write_text(f'[process]\nloop = "{loop}"\n')
     monkeypatch.setenv("RUSHHITCH_TOML", str(tmp_path / "own.toml"))
 
@@ -177,7 +178,7 @@
             program.at = unreached.address
             await program.start()
             await unreached.wait_for_knock()
-            assert time.monotonic() - since < window_s, "too slow a start: this run proves nothing"
+            assert time.monotonic() - since < window_s, "the start was too slow for a meaningful test"
             await asyncio.sleep(since + window_s - time.monotonic())
             others, accepted = {sock.getsockname() for sock in unreached.queued}, []
             for sock in unreached.queued:
@@ -187,15 +188,15 @@
                 while True:
                     accepted.append((await asyncio.get_running_loop().sock_accept(unreached.listener))[0])
 
-            accepting = asyncio.create_task(accept())  # the program's comes up when its SYN goes again
+            accepting = asyncio.create_task(accept())  # the program connects when its SYN is retransmitted
             assert await program.notice() == {"ref": "m1", "result": "dead"}
             accepting.cancel()
             await program.kill()
             came_up = [sock for sock in accepted if sock.getpeername() not in others]
             for sock in came_up:
                 sock.settimeout(5.0)
-                assert sock.recv(1000) == b"", "a repeat was begun after its window"
-            assert came_up, "the connection never came up: this run proves nothing"
+                assert sock.recv(1000) == b"", "a retry was started after its window"
+            assert came_up, "the connection was never established: the test proves nothing"
             for sock in accepted:
                 sock.close()
         finally:
@@ -213,8 +214,8 @@
 
 
 def test_a_wall_clock_that_is_set_back_between_two_processes_lengthens_no_window(tmp_path, monkeypatch):
-    # The second process reads 2.4 s less: by the wall clock alone, a repeat would be in time, as slow as the
-    # start may be.
+    # The wall clock of the second process is 2.4 s behind: by that clock alone a retry would be in time, even
+    # if the start is slow.
     (tmp_path / "sitecustomize.py").write_text(STEP)
     monkeypatch.setenv("PYTHONPATH", str(tmp_path))
 
@@ -245,7 +246,7 @@
 
 
 class Quiet(Partner):
-    """Never answers in the first life, and soon in the second; notes when it was called, by true time."""
+    """Answers only in the second process; records when it was called, in virtual time."""
 
     def write(self, endpoint, attempts, going):
         for attempt in attempts:
@@ -257,7 +258,8 @@
 
 
 class Mooring(SimulatedProcess):
-    """Keeps its steady clock in the folder, as the service does; the module may hear late of its messages."""
+    """Stores its steady clock in the folder, as the service does; the first turn may be delayed by
+    `late_s`."""
 
     partner, classes = Quiet, [BERTH]
     boot, late_s = "one", 0.0
@@ -267,7 +269,7 @@
         node.ahead_s = steady_clock_offset_s(node.journal, clock.wall + clock.now, clock.now, self.boot)
 
         def late():
-            clock.now += self.late_s  # nothing else runs meanwhile
+            clock.now += self.late_s  # no timer runs meanwhile
             turn()
 
         node.turn = late
@@ -284,8 +286,9 @@
 
 
 def kept_to_windows(tmp_path, second, gap_s, set_back_s=0.0, within=False):
-    """Three messages of several ages are out at a kill, and a second life follows; the wall clock is set back
-    before it, or `within` the first one. How often each went again, in its window; the rest is told."""
+    """Crash a process with three messages of different ages in flight and start a second one. The wall clock
+    is set back before that, or `within` the first process. Returns the number of retries of each, which must
+    all be in its window; the others must be reported as dead."""
     repeats = []
 
     def work(outside):
@@ -324,12 +327,12 @@
 
 @pytest.mark.parametrize("set_back_s", [3.0, 3600.0])
 def test_an_attempt_whose_age_no_clock_tells_is_past_its_window(tmp_path, set_back_s):
-    # The machine was started anew, and its wall clock is behind: an attempt seems to lie in the future.
+    # After a reboot with a wall clock that is behind, an attempt appears to lie in the future.
     assert kept_to_windows(tmp_path, Rebooted, 0.05, set_back_s) == [0, 0, 0]
 
 
 def test_a_window_goes_on_while_a_start_takes_its_time(tmp_path):
-    # From the look at the journal's ages to the turn in which the module hears of them.
+    # The delay is between reading the ages from the journal and the turn that passes them to the module.
     assert kept_to_windows(tmp_path, Late, 0.05) == [0, 1, 1]
 
 
@@ -342,10 +345,10 @@
         (tmp_path / "clock").write_bytes(spoilt)
     assert steady_clock_offset_s(journal, 1000.0, 10.0, "one") == 990.0
     assert steady_clock_offset_s(journal, 900.0, 20.0, "one") == 990.0, (
-        "the wall clock was set back meanwhile"
+        "a wall clock that was set back changed steady time"
     )
     assert steady_clock_offset_s(journal, 900.0, 20.0, "two") == 880.0
-    assert steady_clock_offset_s(journal, 900.0, 20.0, "") == 880.0, "the system does not tell its boot"
+    assert steady_clock_offset_s(journal, 900.0, 20.0, "") == 880.0, "the clock of an unknown boot was used"
     journal.close()
 
 
@@ -378,14 +381,14 @@
             if isinstance(action, Send):
                 assert action.start_by_ms == 6000.0 - sent_ago_ms
                 return
-    raise AssertionError("it was not repeated")
+    raise AssertionError("it was not retried")
 
 
 # The last byte
 
 
 def test_a_repeat_whose_partner_is_slow_to_take_it_is_not_written_whole_after_its_window():
-    # Guards against the time from the decision to the last byte: the partner reads when the window is over.
+    # The partner starts to read only after the window, long after the decision to send.
     @with_caller()
     async def _(caller):
         loop, read, gone = asyncio.get_running_loop(), asyncio.Event(), asyncio.Event()
@@ -407,7 +410,7 @@
         assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         await gone.wait()
         assert 0 < arrived < size and caller.endpoints.connections == 0
-        assert not caller.endpoints.idle, "a connection with half a request on it was kept"
+        assert not caller.endpoints.idle, "a connection with an incomplete request was kept"
 
 
 @pytest.mark.parametrize("left_s", [-0.01, 0.0, 0.01])
@@ -427,7 +430,7 @@
         nonlocal start_by
         loop = asyncio.get_running_loop()
         start_by = loop.time() + 0.2
-        ages = (start_by, start_by + 1.0, start_by + 5.0)  # the oldest of a batch binds it
+        ages = (start_by, start_by + 1.0, start_by + 5.0)  # the earliest start deadline applies to the batch
         attempts = [Attempt(m, 1, b"m%d" % m, b"", loop.time() + 30.0) for m in range(3)]
         caller.endpoints.send("e1", [replace(a, start_by=by) for a, by in zip(attempts, ages, strict=True)])
         for _ in ages:
