--- a/rushhitch/core/messages.py
+++ b/rushhitch/core/messages.py
@@ -1,4 +1,4 @@
-"""What the core keeps of a message, and of an attempt that another process carries to its end."""
+"""State of the core: open messages, attempts inherited from another process, pending notices."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from rushhitch.endpoints import Result
 from rushhitch.journal import JournalEntry
 
-BUSY_MS = 500  # told to a client where the house or the journal is full
+BUSY_MS = 500  # retry-after for clients when the limit of open messages or the journal is full
 
 
 @dataclass(frozen=True, slots=True)
 class InheritedAttempt:
-    """An attempt that the process before this one carries to its end; times by the clock that both have."""
+    """An attempt that the previous process still runs; times by the monotonic clock that both share."""
 
     message: int
     attempt: int
@@ -34,50 +34,50 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingNotice:
-    """An end of which the platform is told once the journal has it, or the message's time is up."""
+    """A notice to the platform, sent once the journal holds the end or the message's deadline has passed."""
 
     number: int
     id: bytes
     result: str
     wait_ms: float
-    due: float  # when that time is up, by the clock of the event loop
+    due: float  # deadline of the message, in loop time
 
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A message of this process; `answer` is there until its client has been answered."""
+    """An open message of this process; `answer` is None once its client has been answered."""
 
     number: int
     kept: JournalEntry
     attempts: int
-    due: float  # when its time is up, by the clock of the event loop, in seconds
+    due: float  # deadline, in loop time (seconds)
     answer: ReplyCallback | None = None
-    reachable: ReachabilityCheck = always_reachable  # whether that client can be answered in this step
-    check_client: ClientCheck = no_client_check  # asked before each call
-    stage: Stage = Stage.ACCEPTED  # changed by `Lifecycle.advance` alone
-    completion_listeners: list[ReplyCallback] = field(default_factory=list)  # those who want to hear its end
-    hearers: int = 1  # clients that were answered that it is accepted, less those that cannot have heard
-    resumed: bool = False  # an earlier process accepted it
+    reachable: ReachabilityCheck = always_reachable  # whether its client can be answered in this step
+    check_client: ClientCheck = no_client_check  # called before each call
+    stage: Stage = Stage.ACCEPTED  # changed only by `Lifecycle.advance`
+    completion_listeners: list[ReplyCallback] = field(default_factory=list)  # called with its end
+    informed_clients: int = 1  # clients told of the acceptance, less those that may have missed it
+    resumed: bool = False  # accepted by an earlier process
     out: set[int] = field(default_factory=set)
-    handed: bool = False  # the module is done with it; its partner's acknowledgement is to come
-    pending: Result | None = None  # of a call that to the module is out until the acknowledgement comes
-    waiting: bool = False  # the module hears of it anew once its other attempts have ended
-    sink: bytes = b""  # the event's attributes, where its end is to be told to a sink
-    verdict: Verdict | None = None  # one that came before its call had ended
+    handed: bool = False  # its partner answered 202; the acknowledgement is pending
+    pending: Result | None = None  # of a call that the module sees in flight until the acknowledgement
+    waiting: bool = False  # announce it to the module again once its other attempts have ended
+    sink: bytes = b""  # the event's attributes, if its end is to be sent to a sink
+    verdict: Verdict | None = None  # of an acknowledgement that arrived before its call ended
     watchdog: asyncio.TimerHandle | None = None
 
     @property
     def id(self) -> bytes:
-        """As its client calls it."""
+        """The id that its client gave it."""
         return self.kept.id
 
     @property
     def awaits_outcome(self) -> bool:
-        """Whether a call that has gone out, of this process or one that it goes on for, may still be answered
-        or acknowledged. One that was out at a kill is not: nobody waits for its answer."""
+        """Whether a call that was sent, by this process or one that it inherited from, may still be answered
+        or acknowledged. Calls in flight when a process crashed do not count: nobody reads their answers."""
         return self.kept.awaiting_ack is not None or not self.out.isdisjoint(self.kept.out)
 
     @property
     def over(self) -> bool:
-        """Whether nothing more is owed for it."""
+        """Whether it has ended or was withdrawn, so that nothing more is owed."""
         return self.stage >= Stage.ENDED
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -1,4 +1,4 @@
-"""The loop round `Dispatcher.handle`: gathers the events of one tick, carries out the actions, maps ids."""
+"""The core of a dispatcher: passes events to the decision module in turns and carries out its actions."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 from rushhitch.core.messages import BUSY_MS, InheritedAttempt, Message, PendingNotice
 from rushhitch.core.metrics import Metrics
 from rushhitch.core.recent_ends import RecentEnds
-from rushhitch.core.remembered_ends import KEEP_S, MOST, End, RememberedEnds
+from rushhitch.core.remembered_ends import MAX_REMEMBERED_ENDS, RETENTION_S, End, RememberedEnds
 from rushhitch.core.request_log import FINAL_ANSWER, log_abandoned, log_refusal, log_step, log_untried_end
 from rushhitch.core.start_report import StartReport
 from rushhitch.endpoints import PLATFORM, EndpointPool, Result
@@ -56,22 +56,31 @@
 
 log = logging.getLogger(__name__)
 
-WITHDRAWN = Reply("refused")  # nobody was told that it is taken on: it may come again
-OVERDUE_S = 0.1  # after its time is up, a message that the module has not ended is failed here
-ANSWER_MARGIN_S = 0.1  # a client's message is so much older than we know, at most: it waited on its way here
-ENDED_SHARE = 0.5  # of the room for live messages: identities remembered past their end take no more
+WITHDRAWN = Reply("refused")  # it was not accepted: the client may resubmit
+OVERDUE_GRACE_S = 0.1  # after its deadline, a message that the decision module has not ended is failed here
+CLIENT_CLOCK_MARGIN_S = (
+    0.1  # bound on the age of a message on arrival: the client's clock started before ours
+)
+REMEMBERED_ENDS_SHARE = (
+    0.5  # largest part of the journal's room for live messages that remembered ids may take
+)
 HTTP_ACCEPTED = 202
-RAN = {
+OUTCOME_BY_VERDICT = {
     Verdict.NOT_RUN: Outcome.NOT_EXECUTED,
     Verdict.RAN: Outcome.ERROR,
-}  # what a negative acknowledgement means
-ACK_MARGIN_S = 0.1  # before its time is up, a message that no acknowledgement has come for is failed
-REFUSED_NOTICE, FAILED_NOTICE = "bounced", "dead"  # ends as the platform is told them
-RETRY_S = 0.25  # between two tries to write what a full disk did not take
+}  # outcomes of attempts by negative acknowledgement
+ACKNOWLEDGEMENT_MARGIN_S = (
+    0.1  # before its deadline, a message that still lacks its acknowledgement is failed
+)
+REFUSED_NOTICE, FAILED_NOTICE = "bounced", "dead"  # results in notices to the platform
+COMMIT_RETRY_S = 0.25  # interval of retries after a failed journal write
 
 
 class Node:
-    """One dispatcher: everything that happens passes through `turn`."""
+    """One dispatcher. Events are collected by `note` and processed together in `turn`, once per tick.
+
+    `notify` sends a notice to the platform (number, id, result, wait in ms); `keep_s` is how long past its
+    deadline an id is remembered; `connections` limits open connections to endpoints."""
 
     def __init__(
         self,
@@ -81,7 +90,7 @@
         notify: Callable[[int, bytes, str, float], None],
         connections: int = 256,
         codecs: Mapping[int, Codec] | None = None,
-        keep_s: float = KEEP_S,
+        keep_s: float = RETENTION_S,
         bans: DetachedEndpoints | None = None,
         history: SettingsHistory | None = None,
     ) -> None:
@@ -100,37 +109,37 @@
         )
         self.classes = {cls.name: position for position, cls in enumerate(settings.classes)}
         self.tenants = {tenant.name: position for position, tenant in enumerate(settings.tenants)}
-        self.history = history or SettingsHistory()  # of settings: what messages were taken under
+        self.history = history or SettingsHistory()  # of settings, for messages accepted under earlier ones
         self.metrics = Metrics(self.classes)
-        self.bans = bans  # endpoints that operators took out
+        self.bans = bans  # endpoints detached by operators
         self.limits = RateLimits(settings.dispatchers, self.note, dispatcher.held_by_destination)
         self.registry = EndpointRegistry(
             settings, codecs or {}, self.endpoints, journal, self.limits, self.note
         )
-        self.inherited: dict[tuple[int, int], InheritedAttempt] = {}  # an earlier process ends them
-        self.cancel_inherited: Callable[[int, int], None] = lambda message, attempt: None  # one of them
+        self.inherited: dict[tuple[int, int], InheritedAttempt] = {}  # still run by an earlier process
+        self.cancel_inherited: Callable[[int, int], None] = lambda message, attempt: None  # one of these
         self.abandon_elsewhere: Callable[[int, str], None] = lambda message, why: None  # once relinquished
-        self.ahead_s: float | None = None  # of the loop's clock is the steady one, `journal.steady`
-        self.aging: dict[int, float] = {}  # messages with attempts that the module has yet to hear of: since
+        self.ahead_s: float | None = None  # steady time minus loop time, see `journal.steady`
+        self.ages_as_of: dict[int, float] = {}  # loop time of the ages in each pending `Arrived`, by message
         self.messages: dict[int, Message] = {}
         self.by_id: dict[bytes, Message] = {}
         self.numbers = journal.highest
         self.committer = Committer(journal)
-        self.notices: list[PendingNotice] = []  # to be told once the journal tells of them
+        self.notices: list[PendingNotice] = []  # to be sent once the journal holds the ends
         self.remembered_ends = RememberedEnds(
-            min(MOST, int(ENDED_SHARE * journal.space.max_live_bytes / RECORD_ROOM))
+            min(MAX_REMEMBERED_ENDS, int(REMEMBERED_ENDS_SHARE * journal.space.max_live_bytes / RECORD_ROOM))
         )
-        self.sinks: Sinks | None = None  # where clients may have ends told by messages of our own
+        self.sinks: Sinks | None = None  # set if clients may have ends reported by messages to sinks
         self.end_history = EndHistory()
         self.start_report = StartReport()
         self.recent_ends = RecentEnds()
-        self.completions: list[tuple[ReplyCallback, Reply]] = []  # likewise, for those who wait
+        self.completions: list[tuple[ReplyCallback, Reply]] = []  # likewise, for callers waiting for an end
         self.retrying: asyncio.TimerHandle | None = None
-        self.fresh_bytes = 0
+        self.new_bytes = 0
         self.reminder: asyncio.TimerHandle | None = None
         self.events: list[api.Event] = []
-        self.fresh: list[Message] = []
-        self.gathering = False
+        self.new_messages: list[Message] = []
+        self.turn_scheduled = False
         self.idle = asyncio.Event()
         self.idle.set()
         for endpoint in sorted(bans.ids) if bans is not None else ():
@@ -145,7 +154,7 @@
         return self.lifecycle.phase is Phase.RELINQUISHED
 
     def status(self) -> dict[str, int]:
-        """What is under way, in numbers of messages; `newest` is the number of the newest one."""
+        """Numbers of messages and calls by state; `newest` is the number of the newest message."""
         return {
             "newest": self.numbers,
             "held": len(self.by_id),
@@ -159,13 +168,13 @@
         if self.relinquished:
             return
         self.events.append(event)
-        if not self.gathering:
-            self.gathering = True
+        if not self.turn_scheduled:
+            self.turn_scheduled = True
             self.loop.call_later(self.settings.tick_ms / 1000.0, self.turn)
 
     def reconfigure(self, settings: Settings, history: SettingsHistory) -> None:
-        """Take other settings for what comes from now on; `history` tells of them too. Raises `ValueError`
-        and changes nothing where they need another process."""
+        """Apply new settings to messages accepted from now on; `history` includes them. Raises `ValueError`
+        and changes nothing if they differ in kinds or zones."""
         if settings.kinds != self.settings.kinds or settings.zones != self.settings.zones:
             raise ValueError("settings: kinds and zones change with a restart or an upgrade, not at SIGHUP")
         self.settings, self.history = settings, history
@@ -177,7 +186,7 @@
         self.note(api.Reconfigured(settings))
 
     def resize(self, dispatchers: int) -> None:
-        """So many may be sharing limits and returns from now on, this one among them."""
+        """Set the number of dispatchers that share limits and slots, including this one."""
         if dispatchers != self.settings.dispatchers:
             self.settings = replace(self.settings, dispatchers=dispatchers)
             self.limits.dispatchers = dispatchers
@@ -192,7 +201,7 @@
         reachable: ReachabilityCheck = always_reachable,
         check_client: ClientCheck = no_client_check,
     ) -> int:
-        """A client hands a message in; it is answered at the end of the turn. `Acceptor` tells the rest."""
+        """Submit a message; it is answered at the end of the turn. See `Acceptor.offer`."""
         if not self.lifecycle.accepting():
             answer(Reply("refused", BUSY_MS))
             return 0
@@ -208,9 +217,9 @@
             raise BadRequest(f"unknown destination {offer.destination}")
         if held := self.by_id.get(offer.id):
             if held.answer is not None:
-                raise Pending("the id is that of a message which is being taken on")
-            if told(answer):  # it is accepted already, once
-                held.hearers += 1
+                raise Pending("a message with this id is being accepted")
+            if send_acceptance(answer):  # a duplicate of an accepted message
+                held.informed_clients += 1
             if ended is not None:
                 held.completion_listeners.append(ended)
             return held.number
@@ -222,8 +231,8 @@
             return 0
         size = len(offer.body) + len(offer.attributes) + len(offer.tenant) + len(offer.idempotency)
         if self.sinks is not None and self.sinks.named(offer.attributes):
-            size += RECORD_ROOM + self.sinks.room  # of the message that tells its end
-        room = self.fresh_bytes + size
+            size += RECORD_ROOM + self.sinks.room  # for the message that reports its end
+        room = self.new_bytes + size
         for gone in self.remembered_ends.forget(self.steady_time()):
             self.journal.record_end(gone)
         full = offer.remember and self.remembered_ends.full(len(self.by_id))
@@ -247,15 +256,15 @@
             tenant=offer.tenant,
             idempotency=offer.idempotency,
         )
-        message = self.enter(kept, answer)
+        message = self.add_message(kept, answer)
         message.stage = Stage.RECEIVED
         message.reachable, message.check_client = reachable, check_client
         if ended is not None:
             message.completion_listeners.append(ended)
         if self.limits.counts is not None:
             self.limits.counts.arrived(offer.destination)
-        self.fresh.append(message)
-        self.fresh_bytes += RECORD_ROOM + size
+        self.new_messages.append(message)
+        self.new_bytes += RECORD_ROOM + size
         self.note(
             api.MessageAccepted(
                 message.number,
@@ -270,49 +279,49 @@
         return message.number
 
     def tenant(self, name: str) -> int:
-        """The tenant's position; past the last one for a message that names none, which has no allowance."""
+        """The tenant's position; past the last one for a message without a tenant, which has no allowance."""
         return self.tenants.get(name, len(self.settings.tenants))
 
     def steady_time(self) -> float:
-        """Unix time in seconds by a clock that is not stepped while this process runs, nor over a restart
-        where `ahead_s` was kept: all that outlasts the process is told by it."""
+        """Unix time in seconds by a clock that is not stepped while this process runs, nor across a restart
+        if `ahead_s` was stored. All times in the journal are steady times."""
         if self.ahead_s is None:
             self.ahead_s = time.time() - self.loop.time()
         return self.loop.time() + self.ahead_s
 
-    def due_of(self, kept: JournalEntry) -> float:
-        """When the message's time is up, by the clock of the event loop."""
+    def loop_deadline(self, kept: JournalEntry) -> float:
+        """The deadline of the message in loop time."""
         return self.loop.time() + max(kept.deadline - self.steady_time(), 0.0)
 
-    def wall(self, due: float) -> float:
-        """A time of the event loop's clock as others read it now: Unix time in seconds."""
+    def to_wall_time(self, due: float) -> float:
+        """Convert loop time to Unix time in seconds by the current wall clock."""
         return time.time() + due - self.loop.time()
 
-    def enter(self, kept: JournalEntry, answer: ReplyCallback | None = None) -> Message:
-        due = self.due_of(kept)
+    def add_message(self, kept: JournalEntry, answer: ReplyCallback | None = None) -> Message:
+        due = self.loop_deadline(kept)
         message = Message(kept.number, kept, kept.attempts, due, answer)
         if self.sinks is not None and self.sinks.named(kept.attributes):
             message.sink = kept.attributes
         self.messages[message.number] = self.by_id[kept.id] = message
-        self.watch(message, due + OVERDUE_S, self.overdue)
+        self.set_watchdog(message, due + OVERDUE_GRACE_S, self.overdue)
         self.idle.clear()
         return message
 
-    def watch(self, message: Message, at: float, ends: Callable[[Message], None]) -> None:
-        """See to it that the message ends by then, by the clock of the event loop."""
+    def set_watchdog(self, message: Message, at: float, ends: Callable[[Message], None]) -> None:
+        """Call `ends` at that loop time unless the message has ended; replaces the watchdog."""
         if message.watchdog is not None:
             message.watchdog.cancel()
         message.watchdog = self.loop.call_at(at, ends, message)
 
     def withdraw(self, number: int) -> None:
-        """The client went without its answer and may hand the message in anew: nothing is owed."""
+        """See `Acceptor`. The client may resubmit the message, so nothing is owed."""
         message = self.messages.get(number)
         if message is not None and message.answer is not None and not self.relinquished:
             message.answer = None
-            self.drop(message)
+            self.close_unanswered(message)
 
-    def drop(self, message: Message) -> None:
-        """Its client went without an answer: nothing is done for it."""
+    def close_unanswered(self, message: Message) -> None:
+        """Close a message whose client disconnected unanswered, without an end."""
         message.completion_listeners.clear()
         message.sink = b""
         self.close(message, Effect.WITHDRAW, end=WITHDRAWN)
@@ -331,8 +340,8 @@
         message = self.messages.get(number)
         if message is None or message.stage is not Stage.ACCEPTED:
             return
-        message.hearers -= 1
-        if message.hearers > 0:
+        message.informed_clients -= 1
+        if message.informed_clients > 0:
             return
         self.stop_sending(message, why)
         if not message.awaits_outcome:
@@ -341,36 +350,38 @@
         self.commit()
 
     def stop_sending(self, message: Message, why: str) -> None:
-        """No further call is begun. Until those that are out have their outcomes the journal has the notice
-        that promises least, so that a process which starts meanwhile sends nothing either."""
+        """Start no further call. While calls are in flight the journal holds a "dead" notice, the weakest
+        promise, so that a process that starts meanwhile sends nothing either."""
         log_abandoned(message, why)
         if self.lifecycle.advance(message, Effect.ABANDON) and message.awaits_outcome:
             self.journal.record_notice(message.number, FAILED_NOTICE, 0.0)
 
     def end_abandoned(self, message: Message) -> None:
-        """No call of an abandoned message is out, and none delivered it."""
+        """End an abandoned message that has no call in flight and was not delivered."""
         if message.kept.first_run is None:
             self.finish(message, REFUSED_NOTICE, BUSY_MS)
         else:
             self.finish(message, FAILED_NOTICE, 0.0)
 
     def overdue(self, message: Message) -> None:
-        """Guards against a message that fell through: its end is given even if the module gives none."""
+        """Watchdog: fail a message that the decision module did not end by its deadline."""
         if not message.over:
-            log.error("message %d is overdue and is failed", message.number)
+            log.error("message %d is past its deadline without an end; failing it", message.number)
             self.finish(message, "dead", 0.0)
             self.commit()
             self.note(api.Withdrawn(message.number))
 
-    def arrive(self, message: Message, loans: Sequence[InheritedAttempt] = (), untried: bool = False) -> None:
-        """Give the module a message that has had attempts; those that are out are in an earlier process. An
-        age that no clock tells counts as one past every window."""
+    def announce(
+        self, message: Message, loans: Sequence[InheritedAttempt] = (), untried: bool = False
+    ) -> None:
+        """Announce to the decision module a message that was resumed or acknowledged negatively. `loans` are
+        its attempts in flight in an earlier process. Attempts of unknown age count as past every window."""
         kept, now = message.kept, self.steady_time()
         terms, out = self.history.terms_of(kept.number, kept.cls), {loan.attempt for loan in loans}
         runs = [where for attempt, where in kept.out.items() if attempt not in out]
         ran = min([*runs, *([kept.ran] if kept.ran else [])], key=itemgetter(1), default=None)
         age = self.steady_time() - ran[1] if ran else 0.0
-        self.aging[message.number] = self.loop.time()
+        self.ages_as_of[message.number] = self.loop.time()
         self.note(
             api.MessageAccepted(
                 message.number,
@@ -396,29 +407,31 @@
 
     # Acknowledgements
 
-    def acknowledges(self, destination: int) -> bool:
-        """Whether its answers may only say that an acknowledgement is to come."""
+    def acknowledges_later(self, destination: int) -> bool:
+        """Whether the partner of the destination may answer 202 and acknowledge later."""
         return self.registry.codecs.get(destination, PLATFORM).later(HTTP_ACCEPTED)
 
-    def ordered(self, kept: JournalEntry) -> bool:
-        """Whether messages of its key go one after another."""
+    def is_ordered(self, kept: JournalEntry) -> bool:
+        """Whether messages with its key are delivered in order."""
         if not kept.key:
             return False
         if (terms := self.history.terms_of(kept.number, kept.cls)) is not None:
             return terms.cls.in_order
         return self.settings.classes[self.classes[kept.cls]].in_order
 
-    def hand_over(self, message: Message) -> None:
-        """The call was answered; what became of the message is told later, or it fails in time."""
+    def await_acknowledgement(self, message: Message) -> None:
+        """The call was answered with 202: wait for the acknowledgement, or fail the message before its
+        deadline."""
         message.handed = True
-        self.watch(message, message.due - ACK_MARGIN_S, self.unacknowledged)
+        self.set_watchdog(message, message.due - ACKNOWLEDGEMENT_MARGIN_S, self.unacknowledged)
 
-    def take_back(self, message: Message) -> None:
-        """It is the module's again."""
+    def return_to_module(self, message: Message) -> None:
+        """The decision module is responsible for the message again."""
         message.handed = False
-        self.watch(message, message.due + OVERDUE_S, self.overdue)
+        self.set_watchdog(message, message.due + OVERDUE_GRACE_S, self.overdue)
 
     def unacknowledged(self, message: Message) -> None:
+        """Watchdog: fail a message whose acknowledgement did not arrive."""
         if not message.over:
             log.info("message %d was not acknowledged in time", message.number)
             self.finish(message, "dead", 0.0)
@@ -426,14 +439,14 @@
                 self.attempt_ended(replace(message.pending, later=False))
             self.commit()
 
-    def acknowledge(self, told: Acknowledgement, answer: ReplyCallback) -> None:
-        """See `Acceptor`. It is answered once the journal tells of what it did."""
-        message = self.by_id.get(told.message)
-        if message is None or message.kept.destination != told.destination:
-            answer(self.end_history.answer(told, self.steady_time()))
+    def acknowledge(self, acknowledgement: Acknowledgement, answer: ReplyCallback) -> None:
+        """See `Acceptor`. Answered once the journal holds its effect."""
+        message = self.by_id.get(acknowledgement.message)
+        if message is None or message.kept.destination != acknowledgement.destination:
+            answer(self.end_history.answer(acknowledgement, self.steady_time()))
             return
         kept, heard = message.kept, message.verdict is not None
-        found = effect(told, kept.marks, message.attempts, len(message.out), message.handed, heard)
+        found = effect(acknowledgement, kept.marks, message.attempts, len(message.out), message.handed, heard)
         if found is Acknowledged.UNKNOWN:
             answer(UNKNOWN)
             return
@@ -448,52 +461,52 @@
                 self.note(api.Withdrawn(message.number))
         elif found in (Acknowledged.RETRY, Acknowledged.AWAIT):
             (attempt,) = (kept.awaiting_ack,) if message.handed else message.out
-            if told.verdict is Verdict.NOT_RUN:
-                self.journal.record_not_run(message.number, attempt, told.mark)
+            if acknowledgement.verdict is Verdict.NOT_RUN:
+                self.journal.record_not_run(message.number, attempt, acknowledgement.mark)
             else:
-                kept.marks.append(told.mark)
+                kept.marks.append(acknowledgement.mark)
                 if message.handed:
                     self.journal.record_outcome(message.number, attempt, may_have_run=True)
             if message.handed:
-                self.take_back(message)
+                self.return_to_module(message)
                 if message.pending is not None:
-                    ran = RAN[told.verdict]
+                    ran = OUTCOME_BY_VERDICT[acknowledgement.verdict]
                     self.attempt_ended(replace(message.pending, outcome=ran, over=False, later=False))
                 elif message.stage is Stage.ABANDONED:
                     if not message.awaits_outcome:
                         self.end_abandoned(message)
                 elif not message.out:
-                    self.arrive(message)
+                    self.announce(message)
                 else:
                     message.waiting = True
             else:
-                message.verdict = told.verdict
+                message.verdict = acknowledgement.verdict
         self.commit(lambda: answer(ACKNOWLEDGED), lambda: answer(Reply("refused", BUSY_MS)))
 
     def leaving(self, at: float) -> None:
-        """The process ends at that time of the event loop's clock."""
+        """The process will end at that loop time."""
         self.note(api.ShutdownScheduled((at - self.loop.time()) * 1000.0))
 
     def attempt_ended(self, result: Result) -> None:
+        """Handle the result of an attempt, of this process or an inherited one."""
         message = self.messages[result.attempt.message]
-        if message.verdict is not None:  # its acknowledgement came first, and counts
-            result = replace(result, outcome=RAN[message.verdict], over=False, later=False)
+        if message.verdict is not None:  # an acknowledgement arrived first and takes precedence
+            result = replace(result, outcome=OUTCOME_BY_VERDICT[message.verdict], over=False, later=False)
             message.verdict = None
         if message.pending is not None and message.pending.attempt.number == result.attempt.number:
             message.pending = None
-        if result.over and self.loop.time() >= result.first_due - ANSWER_MARGIN_S:
-            # Guards against a message that is lost: to a client, whose time began earlier, it may have been
-            # over before this answer, which then proves nothing, for any message of the call. So it is told
-            # as failed, which does no harm where it was delivered; sent again, it would be called behind its
-            # end there.
+        if result.over and self.loop.time() >= result.first_due - CLIENT_CLOCK_MARGIN_S:
+            # The client's clock started earlier, so for it the message may have ended before this answer,
+            # which then proves nothing for any message of the call. The message is reported as failed, which
+            # is harmless if it was delivered; another call could come after its end at the client.
             result = replace(result, over=False, final=True)
         kept, later = message.kept, result.over and result.later and not message.over
         if later:
             if message.number in self.journal.live:
                 self.journal.record_awaiting_ack(message.number, result.attempt.number)
-            self.hand_over(message)
-            if self.ordered(kept):
-                message.pending = result  # to the module the attempt stays out: the next of its key must wait
+            self.await_acknowledgement(message)
+            if self.is_ordered(kept):
+                message.pending = result  # in flight for the module: the next of its key must wait
                 self.commit()
                 return
         message.out.discard(result.attempt.number)
@@ -528,8 +541,8 @@
         )
         if message.waiting and not (message.out or message.over):
             message.waiting = False
-            self.arrive(message)
-        self.forget(message)
+            self.announce(message)
+        self.release(message)
 
     def dropped(self, endpoint: str) -> None:
         self.note(api.IdleConnectionClosed(endpoint))
@@ -539,24 +552,24 @@
             gate.withdrawn(endpoint)
 
     def set_gate(self, gate: Gate) -> None:
-        """From now on it says which endpoints of the destinations that it covers may be called."""
-        self.registry.gate, self.limits.stating = gate, True
+        """Set the gate that decides which endpoints of the destinations that it covers may be called."""
+        self.registry.gate, self.limits.may_be_stated = gate, True
 
     # Actions
 
     def turn(self) -> None:
-        """Hand the module what has come, and carry out what it says."""
+        """Pass the collected events to the decision module and carry out its actions."""
         if self.relinquished:
             return
-        self.gathering = False
+        self.turn_scheduled = False
         events, self.events = self.events, []
-        fresh, self.fresh, self.fresh_bytes = self.fresh, [], 0
+        new_messages, self.new_messages, self.new_bytes = self.new_messages, [], 0
         now = self.loop.time()
-        if self.aging:
-            aging, self.aging = self.aging, {}
+        if self.ages_as_of:
+            ages_as_of, self.ages_as_of = self.ages_as_of, {}
             events = [
-                older(event, (now - aging[event.message]) * 1000.0)
-                if isinstance(event, api.MessageAccepted) and event.message in aging
+                aged(event, (now - ages_as_of[event.message]) * 1000.0)
+                if isinstance(event, api.MessageAccepted) and event.message in ages_as_of
                 else event
                 for event in events
             ]
@@ -564,36 +577,39 @@
             actions = self.dispatcher.handle(now * 1000.0, events)
         except Exception:
             log.exception("the decision module failed on %d events", len(events))
-            actions = [api.Refuse(message.number) for message in fresh if not message.over]
-            for message in fresh:
+            actions = [api.Refuse(message.number) for message in new_messages if not message.over]
+            for message in new_messages:
                 self.note(api.Withdrawn(message.number))
         sends: dict[str, list[Attempt]] = {}
         for action in actions:
             try:
-                self.act(action, sends)
+                self.carry_out_action(action, sends)
             except Exception:
-                log.exception("not carried out: %r", action)
-        for message in fresh:
+                log.exception("action failed: %r", action)
+        for message in new_messages:
             if not message.over and self.lifecycle.advance(message, Effect.RECORD):
                 self.journal.record_received(message.kept)
-        self.commit(lambda: self.carry_out(fresh, sends), lambda: self.reject_uncommitted(fresh, sends))
+        self.commit(
+            lambda: self.carry_out_turn(new_messages, sends),
+            lambda: self.reject_uncommitted(new_messages, sends),
+        )
 
-    def carry_out(self, fresh: list[Message], sends: dict[str, list[Attempt]]) -> None:
-        """The journal tells of all this now, as far as it is to before anybody is answered."""
+    def carry_out_turn(self, new_messages: list[Message], sends: dict[str, list[Attempt]]) -> None:
+        """The turn's records are committed: answer the clients, then start the calls."""
         writable = True
-        for message in fresh:
+        for message in new_messages:
             if message.over or message.answer is None:
                 continue
             if writable and message.reachable():
                 writable = self.accept(message)
             if not message.over and message.answer is not None:
                 self.reject(message)
-        if self.journal.pending:  # ends of what was refused: a build before knows nothing of marks
+        if self.journal.pending:  # ends of refused messages: older builds ignore acceptance marks
             self.commit()
         for endpoint, attempts in sends.items():
             wanted = []
             for attempt in attempts:
-                if self.messages[attempt.message].stage is not Stage.ACCEPTED:  # while the disk was at work
+                if self.messages[attempt.message].stage is not Stage.ACCEPTED:  # ended during the commit
                     self.attempt_ended(Result(attempt, endpoint, Outcome.NOT_EXECUTED, 0.0))
                 else:
                     wanted.append(attempt)
@@ -604,9 +620,9 @@
                 self.endpoints.send(endpoint, wanted)
 
     def accept(self, message: Message) -> bool:
-        """Tell the client of a recorded message that it is accepted, and the journal so before and behind the
-        answer: a kill leaves in doubt what is being answered in that moment, and nothing else. False where
-        the disk does not take that: then nobody is told."""
+        """Answer the client of a recorded message that it is accepted. The journal is written before and
+        after the answer, so that a crash leaves in doubt only the message being answered at that moment.
+        Returns False if the journal cannot be written; then no client is answered."""
         answer = message.answer
         if answer is None or not self.lifecycle.permits(message, Effect.ANSWER):
             return True
@@ -617,8 +633,10 @@
             return False
         self.lifecycle.advance(message, Effect.ANSWER)
         message.answer = None
-        if not told(answer):  # the connection broke under the answer: its client cannot have heard
-            self.drop(message)
+        if not send_acceptance(
+            answer
+        ):  # the connection broke during the answer: the client cannot have received it
+            self.close_unanswered(message)
             self.commit()
             return True
         self.journal.finish_answer(message.number)
@@ -626,12 +644,12 @@
         return True
 
     def reject(self, message: Message) -> None:
-        """Refuse what is not accepted; its client may come again."""
+        """Refuse a message that is not accepted; its client may resubmit."""
         self.finish(message, "bounced", BUSY_MS)
         self.note(api.Withdrawn(message.number))
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether the last byte of a call with this attempt may be written in this step."""
+        """Whether the last byte of a call with this attempt may be written now. Checks its client first."""
         message = self.messages.get(attempt.message)
         if message is None:
             return False
@@ -639,9 +657,9 @@
         return self.lifecycle.permits(message, Effect.SEND)
 
     def begin(self, endpoint: str, attempts: list[Attempt], go: Callable[[list[Attempt]], None]) -> None:
-        """The last byte of a call is about to be written. `go` hears of which attempts: those whose messages
-        are not over, once the journal tells of them, and none where the disk does not take that. An earlier
-        record would take a message that never left for one that may have run."""
+        """Record a call's attempts right before its last byte is written. `go` is called after the commit
+        with the attempts whose messages have not ended, or with none if the journal cannot be written. A
+        record made earlier would mark a message that was never sent as one that may have run."""
 
         def open_attempts() -> list[Attempt]:
             return [attempt for attempt in attempts if self.may_send(attempt)]
@@ -650,19 +668,20 @@
             self.journal.record_attempt(attempt.message, attempt.number, endpoint, self.steady_time())
         self.commit(lambda: go(open_attempts()), lambda: go([]))
 
-    def reject_uncommitted(self, fresh: list[Message], sends: dict[str, list[Attempt]]) -> None:
-        """Guards against doing what the journal does not tell: nothing is taken on, nothing is sent."""
-        for message in fresh:
+    def reject_uncommitted(self, new_messages: list[Message], sends: dict[str, list[Attempt]]) -> None:
+        """The turn's records could not be committed: accept nothing and send nothing."""
+        for message in new_messages:
             if not message.over:
                 self.reject(message)
         for endpoint, attempts in sends.items():
             for attempt in attempts:
                 self.attempt_ended(Result(attempt, endpoint, Outcome.NOT_EXECUTED, 0.0))
 
-    def act(self, action: api.Action, sends: dict[str, list[Attempt]]) -> None:
+    def carry_out_action(self, action: api.Action, sends: dict[str, list[Attempt]]) -> None:
+        """Carry out an action; attempts to send are collected in `sends`, by endpoint."""
         match action:
             case api.Send() if self.lifecycle.phase is not Phase.SERVING:
-                pass  # the process that goes on decides anew
+                pass  # the successor decides again
             case api.Send(number, endpoint, timeout_at_ms, start_by_ms):
                 message = self.messages[number]
                 kept, attempt = message.kept, message.attempts
@@ -679,7 +698,7 @@
                         message.due,
                         kept.cls,
                         kept.attributes,
-                        self.wall(message.due),
+                        self.to_wall_time(message.due),
                         kept.idempotency,
                         start_by_ms / 1000.0,
                     )
@@ -692,7 +711,7 @@
                 held = self.messages.get(number)
                 if held is not None and (result := held.pending) and result.attempt.number == attempt:
                     if not held.over:
-                        self.take_back(held)
+                        self.return_to_module(held)
                     cancelled = replace(result, outcome=Outcome.CANCELLED, over=False, later=False)
                     self.attempt_ended(cancelled)
                 elif (number, attempt) in self.inherited:
@@ -700,7 +719,7 @@
                 else:
                     self.endpoints.cancel(number, attempt)
             case api.SetTimer(in_ms, token):
-                if self.reminder is not None:  # the module asks anew only for an earlier time
+                if self.reminder is not None:  # the module asks again only for an earlier time
                     self.reminder.cancel()
                 self.reminder = self.loop.call_later(in_ms / 1000.0, self.note, api.TimerFired(token))
             case api.Probe(endpoint):
@@ -715,7 +734,7 @@
                 if self.limits.counts is not None:
                     self.limits.counts.chilled(endpoint, cold)
             case api.Subscribe():
-                pass  # the watch on the list is open always, and keeps itself open
+                pass  # discovery keeps its watch open by itself
             case api.Log(text):
                 log.info("module: %s", text)
 
@@ -723,12 +742,12 @@
         self.note(api.ProbeEnded(endpoint, outcome, took_ms))
 
     def finish(self, message: Message, result: str, wait_ms: float) -> None:
-        """The final answer: to the client if it still waits for one, else as a notice."""
+        """End the message as "bounced" or "dead": answer its client if it still waits, else owe a notice."""
         if message.over:
             return
         if message.answer is not None:
             answer, message.answer = message.answer, None
-            message.completion_listeners.clear()  # it was never taken on
+            message.completion_listeners.clear()  # it was never accepted
             end = FAILED if result == "dead" else Reply("refused", wait_ms)
             answer(end)
             message.sink = b""
@@ -746,12 +765,12 @@
         self.close(message, Effect.EXPIRE, end=end)
 
     def close(self, message: Message, effect: Effect, end: Reply = DELIVERED) -> None:
-        """The message is over; with a notice the journal keeps it until that is heard. Those who wait for its
-        end hear it as soon as the journal tells of it."""
+        """Apply the effect that ends the message. If a notice is owed, the journal keeps the message until
+        the platform confirms it. Callers that wait for the end are called once it is committed."""
         if not self.lifecycle.permits(message, effect):
             return
-        told = end in (DELIVERED, FAILED) or message.stage is Stage.ABANDONED
-        if told and effect is not Effect.REJECT and not message.kept.remember:
+        reported = end in (DELIVERED, FAILED) or message.stage is Stage.ABANDONED
+        if reported and effect is not Effect.REJECT and not message.kept.remember:
             self.recent_ends.add(message.id, ACCEPTED if end is DELIVERED else end, self.loop.time())
         self.notify_sink(message, end)
         self.lifecycle.advance(message, effect)
@@ -762,51 +781,52 @@
         message.completion_listeners.clear()
         if message.watchdog is not None:
             message.watchdog.cancel()
-        if message.attempts and self.acknowledges(message.kept.destination):
+        if message.attempts and self.acknowledges_later(message.kept.destination):
             self.end_history.add(message.kept.id, end.status, message.kept.deadline + self.keep_s)
         if message.number in self.journal.live:
             if message.kept.remember and end.status != WITHDRAWN.status:
                 if not noticed:
                     self.journal.record_notice(message.number, end.status, 0.0)
-                self.remember(message.kept, end)
+                self.remember_end(message.kept, end)
             elif not noticed:
                 self.journal.record_end(message.number)
         self.by_id.pop(message.kept.id, None)
-        self.forget(message)
+        self.release(message)
         if not self.by_id:
             self.idle.set()
 
     def notify_sink(self, message: Message, end: Reply) -> None:
-        """Take on the message that tells the end of this one, where its client wants that. The journal has it
-        before the end, so that a crash between the two cannot leave the end untold."""
+        """Accept the message that reports this end to the client's sink, if it asked for one. It is written
+        to the journal before the end, so that a crash between the two cannot lose the report."""
         attributes, message.sink = message.sink, b""
         if not attributes or self.sinks is None:
             return
         at = datetime.now(UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
-        told = self.sinks.end_of(attributes, end.status, at)
-        if told.id in self.by_id:  # told by an earlier process that did not come to the end's record
+        report = self.sinks.end_of(attributes, end.status, at)
+        if report.id in self.by_id:  # an earlier process reported it but crashed before recording the end
             return
         self.numbers += 1
         now = self.steady_time()
-        most = self.settings.classes[self.classes[told.cls]].deadline_ms / 1000.0
-        words = (told.id, told.cls, told.destination, now + most, told.body)
-        kept = JournalEntry(self.numbers, *words, accepted_at=now, attributes=told.attributes)
+        most = self.settings.classes[self.classes[report.cls]].deadline_ms / 1000.0
+        fields = (report.id, report.cls, report.destination, now + most, report.body)
+        kept = JournalEntry(self.numbers, *fields, accepted_at=now, attributes=report.attributes)
         self.journal.record_accepted(kept)
-        self.arrive(self.enter(kept))
+        self.announce(self.add_message(kept))
 
-    def remember(self, kept: JournalEntry, end: Reply) -> None:
-        """The journal keeps the message, without its body, until its identity may be forgotten."""
+    def remember_end(self, kept: JournalEntry, end: Reply) -> None:
+        """Remember the id of an ended message; the journal keeps it without its body until it expires."""
         self.remembered_ends.add(kept.id, End(kept.number, end, kept.deadline + self.keep_s))
         for number in self.remembered_ends.forget(self.steady_time()):
             self.journal.record_end(number)
 
-    def forget(self, message: Message) -> None:
+    def release(self, message: Message) -> None:
         if message.over and not message.out:
             self.messages.pop(message.number, None)
 
     def notice_heard(self, number: int) -> None:
+        """The platform confirmed the notice of that message."""
         if number in self.remembered_ends.numbers:
-            self.journal.record_notice(number, FAILED.status, 0.0)  # the platform knows now
+            self.journal.record_notice(number, FAILED.status, 0.0)  # keep the id, but send no notice again
             self.commit()
         elif number in self.journal.live:
             self.journal.record_end(number)
@@ -815,17 +835,17 @@
     def commit(
         self, on_committed: Callable[[], None] = lambda: None, on_failed: Callable[[], None] = lambda: None
     ) -> None:
-        """Write what was noted. `on_committed`, and the notices due, follow once it is there; `on_failed` if
-        the disk does not take it, and what was noted is tried again soon. Guards against an end that is told
-        and then forgotten: after a restart the message would be sent as if nobody had been told."""
-        if self.relinquished:  # the folder is another process's
+        """Commit the pending journal records. Notices and ends are delivered and `on_committed` is called
+        only after that: an end reported but not stored would be lost in a crash, and the message sent again.
+        If the write fails, `on_failed` is called and the commit is retried after `COMMIT_RETRY_S`."""
+        if self.relinquished:  # another process owns the folder
             return
         notices, self.notices = self.notices, []
         ends, self.completions = self.completions, []
 
         def done() -> None:
             for notice in notices:
-                self.tell(notice)
+                self.send_notice(notice)
             for ended, end in ends:
                 ended(end)
             on_committed()
@@ -834,10 +854,10 @@
             self.notices[:0] = notices
             self.completions[:0] = ends
             on_failed()
-            self.tell_expired()
+            self.send_expired_notices()
             if self.retrying is None:
                 dues = [notice.due - self.loop.time() for notice in self.notices]
-                self.retrying = self.loop.call_later(min([RETRY_S, *dues]), self.retry)
+                self.retrying = self.loop.call_later(min([COMMIT_RETRY_S, *dues]), self.retry)
 
         self.committer.commit(done, failed)
 
@@ -845,25 +865,25 @@
         self.retrying = None
         self.commit()
 
-    def tell(self, notice: PendingNotice) -> None:
-        """Hand a notice over to the platform's side, unless its request has not ended."""
+    def send_notice(self, notice: PendingNotice) -> None:
+        """Send a notice to the platform, unless its request has not ended."""
         message = self.messages.get(notice.number)
         if message is not None and not self.lifecycle.permits(message, Effect.NOTIFY):
             return
         self.notify(notice.number, notice.id, notice.result, notice.wait_ms)
 
-    def tell_expired(self) -> None:
-        """The disk does not take an end: it is told all the same once the message's time is up. A process
-        that starts from the journal as it is gives such a message its end as well, and does not send it."""
+    def send_expired_notices(self) -> None:
+        """Send notices past the message's deadline although the journal cannot be written. This is safe: a
+        process that starts from that journal ends such a message too, and does not send it."""
         now = self.loop.time()
         expired = [notice for notice in self.notices if notice.due <= now]
         self.notices = [notice for notice in self.notices if notice.due > now]
         for notice in expired:
-            self.tell(self.as_after_a_kill(notice))
+            self.send_notice(self.notice_after_crash(notice))
 
-    def as_after_a_kill(self, notice: PendingNotice) -> PendingNotice:
-        """The end that a process gives which finds the folder as it is: there, an attempt whose outcome could
-        not be written may have run."""
+    def notice_after_crash(self, notice: PendingNotice) -> PendingNotice:
+        """The notice that a process recovering from the stored journal would send: an attempt whose outcome
+        could not be written may have run, so "bounced" becomes "dead"."""
         kept = self.journal.live.get(notice.number)
         if notice.result != REFUSED_NOTICE or kept is None or not kept.attempts:
             return notice
@@ -871,18 +891,18 @@
         return replace(notice, result=FAILED_NOTICE, wait_ms=0.0)
 
 
-def told(answer: ReplyCallback) -> bool:
-    """Whether the client's answer, that its message is accepted, is wholly in the system's hands."""
+def send_acceptance(answer: ReplyCallback) -> bool:
+    """Send the acceptance to the client. Returns whether it was passed to the operating system in full."""
     try:
         return answer(ACCEPTED) is not False
-    except Exception:  # guards against a fault of our own, behind which others would wait for their answers
-        log.exception("a client was not answered")
+    except Exception:  # a bug here must not leave the other clients of the turn unanswered
+        log.exception("could not answer a client")
         return False
 
 
-def older(event: api.MessageAccepted, by_ms: float) -> api.MessageAccepted:
-    """The same a while later. Guards against windows that seem longer by the time from the look at an age to
-    the turn in which the module hears of it: at a start with many messages, that may be long."""
+def aged(event: api.MessageAccepted, by_ms: float) -> api.MessageAccepted:
+    """The event with its ages advanced by the time until the turn that passes it to the module. At a start
+    with many messages this can be long, and windows would otherwise seem to last longer than they do."""
     ran_ago_ms = None if event.ran_ago_ms is None else event.ran_ago_ms + by_ms
     out = tuple(replace(lent, sent_ago_ms=lent.sent_ago_ms + by_ms) for lent in event.out)
     return replace(event, left_ms=max(event.left_ms - by_ms, 0.0), ran_ago_ms=ran_ago_ms, out=out)
--- a/rushhitch/core/remembered_ends.py
+++ b/rushhitch/core/remembered_ends.py
@@ -1,4 +1,4 @@
-"""Identities past their end: the same event, sent again, must not run as a new message. No I/O, no clock."""
+"""Ids of ended messages: an event submitted again must not run as a new message. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from rushhitch.acceptor import Reply
 
-KEEP_S = 600.0  # past its time an event is remembered for so long: who asks again does so within minutes
-MOST = 100_000  # of them, 30 MB
+RETENTION_S = 600.0  # an event is remembered this long past its deadline; clients resubmit within minutes
+MAX_REMEMBERED_ENDS = 100_000  # remembered events: 30 MB
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """How the message with that number in the journal ended, and until when it is remembered, in seconds."""
+    """The end of the message with this journal number, remembered `until` that time in seconds."""
 
     number: int
     reply: Reply
@@ -21,10 +21,10 @@
 
 
 class RememberedEnds:
-    """The ends, by id, in the order in which they are forgotten. The journal has them too, by number: what
-    `forget` gives is for it to end."""
+    """Ends by message id, in order of expiry. The journal holds them as well, by number: the caller must end
+    there the numbers that `forget` returns."""
 
-    def __init__(self, most: int = MOST) -> None:
+    def __init__(self, most: int = MAX_REMEMBERED_ENDS) -> None:
         self.most = most
         self.ends: OrderedDict[bytes, End] = OrderedDict()
         self.numbers: dict[int, bytes] = {}
@@ -35,8 +35,8 @@
         self.numbers[end.number] = name
 
     def full(self, held: int) -> bool:
-        """Whether no further event may be taken on beside so many that are held: each will need a place.
-        Guards against forgetting one early to make room, which then might run again."""
+        """Whether to refuse new events while `held` messages are open, each of which will need a place here.
+        An end must not be evicted early to make room, since its event could then run again."""
         return len(self.ends) + held >= self.most
 
     def get(self, name: bytes, now: float) -> Reply | None:
@@ -44,7 +44,7 @@
         return found.reply if found is not None and now < found.until else None
 
     def forget(self, now: float) -> list[int]:
-        """The numbers of those whose time is over, in the order in which they came."""
+        """Remove expired ends and return their journal numbers, oldest first."""
         gone = []
         while self.ends:
             oldest = next(iter(self.ends.values()))
--- a/rushhitch/core/start_report.py
+++ b/rushhitch/core/start_report.py
@@ -1,5 +1,5 @@
-"""What a start found in the journal: counts for operators, and the messages by name for whoever has to
-explain later why one was sent, refused or dropped. No I/O but the log."""
+"""Report on the messages that a start found in the journal: counts for operators, and ids that explain later
+why a message was sent, refused or dropped. No I/O except logging."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 log = logging.getLogger(__name__)
 
-MOST_NAMED = 40  # messages of one state that are named in the log
+MAX_NAMED_MESSAGES = 40  # messages per state that are named in the log
 
 
 class Found(Enum):
-    """The state of a message as a start finds it. Each stands for one decision."""
-
-    UNTRIED = "untried"  # resumed: it has had no call
-    TRIED = "tried"  # resumed, as far as its class allows another call
-    OUT_OF_TIME = "out_of_time"  # ended by a notice
-    TO_BE_NOTIFIED = "to_be_notified"  # its notice is sent again
-    REMEMBERED = "remembered"  # its identity is kept
-    IN_DOUBT = "in_doubt"  # ended by a notice "bounced": its client may not have heard that it is accepted
+    """The state in which a start finds a message, which decides what happens to it. Values are logged."""
+
+    UNTRIED = "untried"  # resumed; it had no call
+    TRIED = "tried"  # resumed, if its class allows another call
+    OUT_OF_TIME = "out_of_time"  # past its deadline: ended with a notice
+    TO_BE_NOTIFIED = "to_be_notified"  # ended before: its notice is sent again
+    REMEMBERED = "remembered"  # ended before: its id is remembered
+    IN_DOUBT = "in_doubt"  # ended with notice "bounced": its client may have missed the acceptance
     UNANSWERED = "unanswered"  # dropped: its client was not answered
-    CLASS_GONE = "class_gone"  # failed: the settings have no such class any more
+    CLASS_GONE = "class_gone"  # failed: its class was removed from the settings
 
 
-def found(kept: JournalEntry, now: float, in_doubt: Container[int]) -> Found:
-    """The state of a message; `now` by the steady clock, `in_doubt` the numbers of those that are so."""
+def classify(kept: JournalEntry, now: float, in_doubt: Container[int]) -> Found:
+    """The state of a message; `now` is steady time, `in_doubt` the numbers of the messages in doubt."""
     if kept.number in in_doubt:
         return Found.IN_DOUBT
     if kept.notice is not None:
@@ -40,7 +40,7 @@
 
 
 class StartReport:
-    """Collects what a start finds and tells it in two lines of the log."""
+    """Collects the messages found by a start and logs them in two lines."""
 
     def __init__(self) -> None:
         self.messages: defaultdict[Found, list[JournalEntry]] = defaultdict(list)
@@ -52,16 +52,16 @@
         return {state.value: len(self.messages[state]) for state in Found if self.messages[state]}
 
     def log(self) -> None:
-        """The counts, and each message as `number:id`, by state."""
+        """Log the counts, and the messages as `number:id`, by state."""
         if not self.messages:
             return
         log.info("the journal was read", extra=self.counts())
-        named = {state.value: names(self.messages[state]) for state in Found if self.messages[state]}
+        named = {state.value: format_ids(self.messages[state]) for state in Found if self.messages[state]}
         log.info("messages found by the start", extra=named)
 
 
-def names(messages: list[JournalEntry]) -> str:
-    told = [f"{kept.number}:{kept.id.decode('latin-1')}" for kept in messages[:MOST_NAMED]]
-    if len(messages) > MOST_NAMED:
-        told.append(f"and {len(messages) - MOST_NAMED} more")
-    return " ".join(told)
+def format_ids(messages: list[JournalEntry]) -> str:
+    shown = [f"{kept.number}:{kept.id.decode('latin-1')}" for kept in messages[:MAX_NAMED_MESSAGES]]
+    if len(messages) > MAX_NAMED_MESSAGES:
+        shown.append(f"and {len(messages) - MAX_NAMED_MESSAGES} more")
+    return " ".join(shown)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The loop round the decisions, in this process: guards that no ordinary day reaches."""
+"""The node in this process: rare faults and races, bounds on memory, agreement with the endpoint pool."""
 
 import asyncio
 import errno
@@ -25,7 +25,8 @@
 
 
 class Bench:
-    """A node with one partner that the test plays; `ends` are its notices, `answers` what clients hear."""
+    """A node with one partner controlled by the test; `ends` are its notices, `answers` the replies to
+    clients."""
 
     async def start(self, folder, slots=None):
         program = Program(folder)
@@ -49,7 +50,7 @@
         self.node.offer(offer, self.answers.put_nowait)
 
     async def add(self, endpoint, destination=7):
-        """One more endpoint, which the test plays."""
+        """Add another endpoint controlled by the test."""
         peer = await Peer().start()
         addr = "{}:{}".format(*peer.address)
         row = self.row | {"id": endpoint, "addr": addr, "cell": destination}
@@ -84,14 +85,14 @@
 
 @pytest.mark.parametrize("cls", ["note", "pay"])
 def test_an_answer_that_comes_as_the_time_is_up_is_no_delivery_and_the_last_call(tmp_path, cls):
-    # Guards against a message that is lost: to its client, who began to count earlier, it was over by then,
-    # so that the delivery counts for nothing and no notice would come; or it was not, and its end is told.
+    # The client's clock started earlier, so for it the message may have expired before the answer. The
+    # delivery would then not count, and without a notice the message would be lost.
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer(Submission(b"m1", cls, 7, 1000.0, b""))
         request = await bench.partner.next()
         (call,) = bench.node.endpoints.calls.values()
-        call.first_due = bench.node.loop.time() + node_module.ANSWER_MARGIN_S / 2.0
+        call.first_due = bench.node.loop.time() + node_module.CLIENT_CLOCK_MARGIN_S / 2.0
         request.answer(200)
         assert await bench.ends.get() == (1, b"m1", "dead", 0.0)
         await bench.node.idle.wait()
@@ -99,7 +100,7 @@
 
 
 def test_a_call_is_waited_for_until_its_message_is_out_of_time(tmp_path):
-    # A shorter wait gave up calls of messages with little time, and with them all that shared these calls.
+    # A shorter timeout gave up calls of messages with little time left, and all messages of the same batch.
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer(Submission(b"m1", "note", 7, 700.0, b""))
@@ -114,7 +115,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         def broken(self, now, events):
-            raise RuntimeError("a fault of our own")
+            raise RuntimeError("injected fault")
 
         with monkeypatch.context() as patch:
             patch.setattr(Dispatcher, "handle", broken)
@@ -123,7 +124,7 @@
         bench.offer(Submission(b"m2", "note", 7, 6000.0, b""))
         assert await bench.answers.get() == ACCEPTED
 
-    assert "Traceback" in caplog.text and "a fault of our own" in caplog.text
+    assert "Traceback" in caplog.text and "injected fault" in caplog.text
 
 
 def test_nothing_is_taken_on_or_sent_that_the_journal_does_not_tell(tmp_path, monkeypatch):
@@ -207,7 +208,7 @@
     ],
 )
 def test_an_endpoint_whose_entry_makes_no_sense_is_not_taken_for_gone(tmp_path, spoilt, state):
-    # Guards against a list with a spoilt row that takes a partner's only endpoint away.
+    # An invalid row must not remove a partner's only endpoint.
     @with_bench(tmp_path)
     async def _(bench):
         told = []
@@ -231,7 +232,7 @@
 
 
 def sizes(bench):
-    """Of every table of the node, its endpoints, its journal and the decisions."""
+    """Sizes of all tables of the node, its endpoint pool, its journal and the decision module."""
     owners = (bench.node, bench.node.endpoints, bench.journal, bench.node.dispatcher)
     tables = ((type(owner).__name__, name, value) for owner in owners for name, value in vars(owner).items())
     return {
@@ -242,13 +243,13 @@
 
 
 def test_nothing_grows_where_endpoints_ids_and_keys_are_ever_new(tmp_path, monkeypatch):
-    # Guards against memory that grows with each endpoint and message that has ever been.
+    # Memory must not grow with the number of endpoints and messages ever seen.
     monkeypatch.setattr(endpoint_registry, "DESTINATION_RETENTION_S", 0.0)
 
     @with_bench(tmp_path)
     async def _(bench):
         for number in range(1000):
-            full = number % 2 == 0  # the one before is left out, or said to be deleted
+            full = number % 2 == 0  # the previous one is left out or listed as deleted
             row = bench.row | {"id": f"n{number}", "cell": 1000 + number}
             gone = [] if full else [{"id": f"n{number - 1}", "state": "DELETED"}]
             bench.node.registry.apply_update({"version": number, "full": full, "servers": [row, *gone]})
@@ -259,7 +260,7 @@
             (await bench.partner.next()).answer(200)
             while bench.node.by_id:
                 await asyncio.sleep(0)
-        while bench.node.endpoints.tasks or bench.node.gathering:
+        while bench.node.endpoints.tasks or bench.node.turn_scheduled:
             await asyncio.sleep(0.001)
         minute_later = bench.node.loop.time() * 1000.0 + 60_000.0
         bench.node.dispatcher.handle(minute_later, [EndpointListReceived(ListKind.DELTA, 1000)])
@@ -267,7 +268,7 @@
 
 
 def believed_and_held(bench):
-    """Calls out and idle connections of each endpoint, as the decisions believe and as the pool holds."""
+    """Calls in flight and idle connections by endpoint: the view of the decision module, and the pool's."""
     decisions, pool = bench.node.dispatcher, bench.node.endpoints
     calls = Counter(call.endpoint for call in pool.calls.values())
     idle = sum(map(len, pool.idle.values()))
@@ -328,12 +329,12 @@
             case "removal":
                 bench.node.registry.apply_update({"version": 42, "full": True, "servers": []})
                 first.answer(200)
-        while bench.node.gathering or len(set(map(str, believed_and_held(bench)))) > 1:
+        while bench.node.turn_scheduled or len(set(map(str, believed_and_held(bench)))) > 1:
             await asyncio.sleep(0.001)
 
 
 def test_an_endpoint_that_hangs_does_not_hold_up_the_others_of_its_destination(tmp_path):
-    # Guards against one hung call that takes all slots of its destination, where others hang as well.
+    # One hung call must not take all slots of its destination, even if other destinations hang as well.
     @with_bench(tmp_path, slots=4)
     async def _(bench):
         hung = [bench.partner, await bench.add("e2", destination=8)]
@@ -341,16 +342,16 @@
             bench.offer(Submission(b"first%d" % destination, "note", destination, 6000.0, b""))
         calls = [await peer.next() for peer in hung]
         well = [await bench.add("e3"), await bench.add("e4", destination=8)]
-        for name, rest in ((b"soon", 0.5), (b"late", 0.0)):  # longer than twice a usual call
+        for name, rest in ((b"soon", 0.5), (b"late", 0.0)):  # more than twice the usual duration of a call
             for destination, peer in zip((7, 8), well, strict=True):
                 bench.offer(Submission(b"%s%d" % (name, destination), "note", destination, 6000.0, b""))
                 (await peer.next()).answer(200)
             await asyncio.sleep(rest)
-        assert not any(call.over.is_set() for call in calls)  # these still hang
+        assert not any(call.over.is_set() for call in calls)  # these calls still hang
 
 
 def test_a_pace_that_one_refusal_cut_is_soon_no_hindrance(tmp_path):
-    # Guards against a limit that was none: a partner whose queue was full for a moment, or its connections.
+    # A partner that was full only for a moment must not stay limited.
     @with_bench(tmp_path, slots=20)
     async def _(bench):
         bench.offer()
@@ -371,7 +372,7 @@
 
 
 def test_a_few_resets_in_a_row_are_no_outage_where_it_serves_again_at_once(tmp_path):
-    # Guards against a network that resets: the partner was never down, and would be sent little for long.
+    # The partner was never down, but after resets by the network it would stay limited for long.
     @with_bench(tmp_path)
     async def _(bench):
         chilled = []
@@ -389,14 +390,14 @@
 
 
 def test_what_an_endpoint_took_is_measured_over_the_time_it_was_seen(tmp_path):
-    # Guards against a pace that counts the time before the start: a cold partner would be sent too little.
+    # A rate that counts the time before the start is too low, and a cold partner would get too few calls.
     @with_bench(tmp_path)
     async def _(bench):
         await served(bench, 10)
         bench.offer()
         while "e1" not in bench.journal.cold:
             (await bench.partner.next()).answer(500)
-        assert bench.journal.cold["e1"] > 1.0  # calls a second: ten within much less than ten seconds
+        assert bench.journal.cold["e1"] > 1.0  # calls per second: ten in much less than ten seconds
 
 
 def test_another_number_of_dispatchers_is_told_to_all_who_divide_by_it(tmp_path):
