--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -1,4 +1,4 @@
-"""Partners that answer 202 and tell the end later: each acknowledgement has one answer and one effect."""
+"""Partners that answer 202 and acknowledge later: each acknowledgement has one answer and one effect."""
 
 import asyncio
 import json
@@ -33,7 +33,7 @@
     return Acknowledgement(7, message, verdict, mark)
 
 
-# What is decided
+# The decision
 
 
 @pytest.mark.parametrize(
@@ -86,7 +86,7 @@
     assert past.answer(told(Verdict.DELIVERED), 150.0) is LATE
     for name in (b"m2", b"m3"):
         past.add(name, "refused", 200.0)
-    assert list(past.ends) == [b"m2", b"m3"], "within a bound"
+    assert list(past.ends) == [b"m2", b"m3"], "the number of ends is not bounded"
     assert past.answer(told(Verdict.NOT_RUN, message=b"m2"), 150.0) is ACKNOWLEDGED
 
 
@@ -114,11 +114,11 @@
     assert (caught.value.attribute, caught.value.status) == (attribute, status)
 
 
-# On the real core
+# With the real core
 
 
 class Bank(Bench):
-    """A core with a partner that acknowledges, and both fronts before it."""
+    """A core with an acknowledging partner and both fronts."""
 
     async def start(self, folder, slots=None):
         await super().start(folder, slots)
@@ -134,7 +134,7 @@
         self.resp2 = self.clients.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
 
     async def restart(self, folder):
-        """The process was killed; the next one takes up its journal."""
+        """Simulate a crash: a new node resumes the journal."""
         self.clients.stop_listening()
         old = self.node
         for message in list(old.messages.values()):
@@ -149,7 +149,7 @@
         self.offer(Submission(name, cls, 7, left_ms, b"hello", key))
 
     async def acknowledge(self, kind=DONE, **changes):
-        """The status and state that an acknowledgement is answered with."""
+        """Send an acknowledgement; returns status and state of its answer."""
         browser = Browser(*await asyncio.open_connection(*self.http))
         headers = {f"ce-{name}": value for name, value in (EVENT | {"type": kind} | changes).items() if value}
         browser.send(headers)
@@ -158,7 +158,7 @@
         return status, body.get("state")
 
     async def handed(self, cls="pay", **more):
-        """A message that the partner has answered with 202."""
+        """Submit a message that the partner answers with 202."""
         self.post(cls, **more)
         request = await self.partner.next()
         request.answer(202)
@@ -189,7 +189,7 @@
     @with_bank(tmp_path)
     async def _(bank):
         await bank.handed()
-        assert bank.node.by_id, "202 is not the end"
+        assert bank.node.by_id, "202 ended the message"
         assert "answered, to be acknowledged by e1" in table(bank.journal, 0.0)
         assert await bank.acknowledge() == (200, "acknowledged")
         assert not bank.node.by_id and not bank.journal.live
@@ -228,11 +228,11 @@
         first = await bank.handed(cls)
         assert await bank.acknowledge(kind) == (200, "acknowledged")
         second = await bank.partner.next()
-        assert second.headers["ce-id"] == first.headers["ce-id"], "it is the same event"
+        assert second.headers["ce-id"] == first.headers["ce-id"], "the retry is another event"
         second.answer(202)
         while not bank.node.messages[1].handed:
             await asyncio.sleep(0.005)
-        # The same acknowledgement again is of the first attempt: it must not make a third.
+        # A duplicate belongs to the first attempt and must not cause a third.
         assert await bank.acknowledge(kind) == (200, "acknowledged")
         assert bank.node.messages[1].handed
         assert await bank.acknowledge(DONE, id="a2") == (200, "acknowledged")
@@ -339,7 +339,7 @@
                 bank.journal.compact()
             await bank.restart(tmp_path)
             assert await bank.acknowledge(NEVER) == (200, "acknowledged")
-            assert bank.node.messages[1].handed, "that was of the first attempt"
+            assert bank.node.messages[1].handed, "the duplicate acknowledged the second attempt"
         assert await bank.acknowledge(DONE, id="a2") == (200, "acknowledged")
         assert not bank.journal.live and bank.quiet()
 
@@ -370,7 +370,7 @@
 
 
 def ordered(bank):
-    """Payments of one key go one after another from here on."""
+    """From now on payments with the same key are delivered in order."""
     classes = tuple(replace(cls, in_order=cls.name == "pay") for cls in bank.node.settings.classes)
     settings = replace(bank.node.settings, classes=classes)
     bank.node.settings, bank.node.dispatcher = settings, type(bank.node.dispatcher)(settings, 1)
@@ -386,7 +386,7 @@
         bank.post(name=b"m2", key=5)
         bank.post(name=b"m3", key=6)
         request = await bank.partner.next()
-        assert request.headers["ce-id"] == "m3", "another key does not wait"
+        assert request.headers["ce-id"] == "m3", "a message with another key waited"
         request.answer(200)
         await asyncio.sleep(0.2)
         assert bank.partner.requests.empty()
