--- a/tests/test_acknowledgements_crash.py
+++ b/tests/test_acknowledgements_crash.py
@@ -1,5 +1,5 @@
-"""A crash at every operation of the journal while partners acknowledge later: nothing is lost, sent twice, or
-kept for ever, whatever the bank says twice or to a process that knows nothing of it."""
+"""Crashes at every journal operation while acknowledgements are due: no message is lost, run twice or kept
+forever, although acknowledgements are repeated and may reach a process that does not know the message."""
 
 import pytest
 from process_harness import CALL_S, Partner, SimulatedProcess, load, settle, virtual
@@ -12,15 +12,15 @@
 
 DISK = 400_000.0
 MESSAGES = 16
-ACK_S, AGAIN_S = 0.3, 0.4  # until a word is said, and from there until it is said again
+ACK_S, AGAIN_S = 0.3, 0.4  # until an acknowledgement is sent, and until it is repeated
 
 
 class Bank:
-    """What it has to say, over all lives: each word is said until it is answered, and once more."""
+    """Sends acknowledgements over all processes: each until it is answered, and once more."""
 
     def __init__(self, outside):
         self.outside, self.life = outside, None
-        self.words = {}  # verdicts by mark, as long as they are unheard
+        self.words = {}  # unanswered verdicts by mark
         self.said = set()
 
     def owe(self, name, verdict, mark):
@@ -35,7 +35,7 @@
     def say(self, name, verdict, mark, again=True):
         if verdict is Verdict.DELIVERED:
             self.outside.delivered.add(name)
-        elif mark not in self.said:  # it says so of what it will never do
+        elif mark not in self.said:  # from now on the bank will not process it
             self.outside.may_have_run.discard(name)
         self.said.add(mark)
 
@@ -51,7 +51,7 @@
 
 
 class Acknowledging(Partner):
-    """Answers 202 where another would have delivered; of every third it says first that it never ran."""
+    """Answers 202 instead of delivering; reports every third message first as not run."""
 
     def end(self, endpoint, attempt, outcome):
         if outcome is not Outcome.OK:
@@ -79,7 +79,7 @@
 
 
 def crashed(folder, at, how):
-    """Whether the first of two lives came to that operation; the second brings all to its end."""
+    """Crash a process at that operation and let a second one finish; whether the operation was reached."""
     reached = []
 
     def work(outside):
@@ -97,7 +97,7 @@
         settle(outside)
         outside.check()
         assert not life.journal.live and not life.node.by_id and not life.node.messages
-        assert not outside.bank.words, "each word was answered"
+        assert not outside.bank.words, "an acknowledgement is unanswered"
         life.files.die()
         if not files.reached:
             assert outside.delivered and any(count > 1 for count in outside.sends.values())
@@ -111,4 +111,4 @@
     at = 1
     while crashed(tmp_path_factory.mktemp("state"), at, how):
         at += 1
-    assert at > MESSAGES, "the run has too few operations to prove anything"
+    assert at > MESSAGES, "too few operations for a meaningful test"
