--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,4 +1,4 @@
-"""The whole program under another customer's settings: keys and tenants of a message are carried along."""
+"""The program with another customer's settings: a message keeps its idempotency key and its tenant."""
 
 import asyncio
 import json
@@ -37,7 +37,7 @@
 
 
 def test_the_key_of_repeats_goes_to_the_endpoint_as_the_client_gave_it(tmp_path):
-    # Guards against calls that endpoints take for another message: without its key a repeat runs twice.
+    # Without the key the endpoint cannot detect a duplicate, and a retry runs twice.
     @with_customer(tmp_path)
     async def _(program):
         client = await program.client()
@@ -75,7 +75,7 @@
 
 
 def node_of(tmp_path, heard):
-    """A node that only notes what it gives to the decisions."""
+    """A node whose events for the decision module are recorded in `heard`."""
     told = json.loads(json.dumps(TOLD)) | {"categories": [BERTH], "tenants": TENANTS}
     settings = parse_settings(json.dumps(told).encode())
     node = Node(settings, Dispatcher(settings, 1), Journal(tmp_path, 3e6), lambda *end: None)
@@ -85,7 +85,7 @@
 
 
 def test_a_message_counts_against_its_own_tenant(tmp_path):
-    # Guards against one tenant's flood that uses up the allowance of another, and the other way round.
+    # A flood of one tenant must not use up the allowance of another.
     async def work():
         heard = []
         node = node_of(tmp_path, heard)
@@ -136,4 +136,4 @@
     payload = form.message_payload(message)
     (length,) = form.LENGTH.unpack_from(payload, size)
     told = json.loads(payload[size + form.LENGTH.size :][:length])
-    assert told == [None, [], None, None, [], "comune", "f59a"]  # an older build reads the first five
+    assert told == [None, [], None, None, [], "comune", "f59a"]  # older builds read the first five
