--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -1,4 +1,4 @@
-"""The figures against what clients and partners saw: at each point of a message's life they add up."""
+"""The metrics of INFO agree with what clients and partners saw, at each stage of a message."""
 
 import asyncio
 
@@ -30,7 +30,7 @@
         request = await bench.partner.next()
         assert info()["inflight"] == 1 and counted(info()) == 0
         await until(lambda: info()["backend_calls"] == 1)
-        request.answer(500)  # it may go again: nothing has ended
+        request.answer(500)  # it will be retried: nothing has ended
         request = await bench.partner.next()
         assert info()["inflight"] == 1 and counted(info()) == 0
         request.answer(200)
@@ -70,7 +70,7 @@
         await bench.partner.next()
         before = OperatorCommands(bench.node).info()
         bench.journal.close()
-        bench.node.lifecycle.enter(Phase.RELINQUISHED)  # it is dead: nothing more comes of it
+        bench.node.lifecycle.enter(Phase.RELINQUISHED)  # simulates a crash: it has no further effect
         again = await Bench().start(tmp_path)
         assert OperatorCommands(again.node).info()["inflight"] == before["inflight"] == 1
         told = OperatorCommands(again.node).info()
