--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -1,4 +1,4 @@
-"""New settings in service: what open messages keep, what is turned down, what outlasts a restart."""
+"""Reconfiguration at run time: terms of open messages, rejected files, behaviour after a restart."""
 
 import asyncio
 import json
@@ -38,7 +38,7 @@
 
 
 def classes(**changes):
-    """The bed's settings with another first class."""
+    """The settings of the test bed with the given changes."""
     harness = DispatcherHarness()
     told = {key: getattr(harness.settings, key) for key in harness.settings.__dataclass_fields__}
     return Settings(**(told | changes))
@@ -53,9 +53,9 @@
     )
     harness.end(1, Outcome.ERROR)
     harness.pass_ms(2000, timeouts=False)
-    assert len(harness.where(1)) == 2, "it was not sent again"
+    assert len(harness.where(1)) == 2, "it was not retried"
     harness.end(1, Outcome.OK)
-    harness.arrive(2, SAFE)  # of the class as it is now
+    harness.arrive(2, SAFE)  # accepted under the new settings
     harness.end(2, Outcome.ERROR)
     assert harness.answers[2] == "fail"
 
@@ -126,11 +126,11 @@
     assert missing_key(short, whole) == missing
 
 
-# The program
+# With the whole program
 
 
 def change(program, edit):
-    """Replace the file, and tell the program."""
+    """Replace the configuration file and send SIGHUP."""
     told = program.config()
     edit(told)
     (program.folder / "config.json").write_text(json.dumps(told))
@@ -175,7 +175,7 @@
             while (await program.figures())["reconfig_failed"] < count:
                 await asyncio.sleep(0.02)
         assert (await program.figures())["reconfig_ok"] == 0
-        assert (await client.add(b"m1", "express")).startswith(b"-ERR"), "a part of a broken file was taken"
+        assert (await client.add(b"m1", "express")).startswith(b"-ERR"), "part of an invalid file was applied"
         assert await client.add(b"m2", "note") == b"+OK\r\n"
 
 
@@ -198,7 +198,7 @@
         assert (await client.add(b"late", "note")).startswith(b"-ERR")
         request.answer(500)
         again = await program.partner.next()
-        assert again.headers["x-correlation-id"] == "old", "the class it was taken under is safe to repeat"
+        assert again.headers["x-correlation-id"] == "old", "its class was safe to repeat on acceptance"
         again.answer(200)
 
 
@@ -219,7 +219,7 @@
         program.config = without
         await program.start()
         again = await program.partner.next()
-        assert again.headers["x-correlation-id"] == "old", "it was given up with its class"
+        assert again.headers["x-correlation-id"] == "old", "it was dropped with its class"
         again.answer(200)
 
 
@@ -266,8 +266,8 @@
 
 
 class SwapMachine(RuleBasedStateMachine):
-    """Settings change at any time between arrivals, answers and waits: each message is sent as the terms say
-    that it was taken under, and has one end."""
+    """Settings change at any time between arrivals, answers and waits: each message is sent according to the
+    settings under which it was accepted, and ends once."""
 
     NAMES = ("a", "b", "c")
 
@@ -290,8 +290,8 @@
                 cls, attempts = self.terms[action.message]
                 number = self.sent[action.message] = self.sent.get(action.message, 0) + 1
                 assert action.message not in self.ended, "sent after its end"
-                assert number <= attempts, "more attempts than it was taken under"
-                assert cls is Effect.SAFE or action.message not in self.ran, "an unsafe message went again"
+                assert number <= attempts, "more attempts than its settings allow"
+                assert cls is Effect.SAFE or action.message not in self.ran, "an unsafe message was retried"
                 self.out[action.message] = (number - 1, action.endpoint)
             elif isinstance(action, (Fail, Refuse)):
                 assert action.message not in self.ended, "a second end"
