--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -29,7 +29,7 @@
 EVENT = {"specversion": "1.0", "id": "a1", "source": "/bank", "type": DONE, "causationid": "m1"}
 
 
-def told(verdict, mark=b"1", message=b"m1"):
+def acknowledgement_of(verdict, mark=b"1", message=b"m1"):
     return Acknowledgement(7, message, verdict, mark)
 
 
@@ -53,16 +53,16 @@
     ],
 )
 def test_each_acknowledgement_has_its_effect(verdict, attempts, out, handed, found):
-    assert effect(told(verdict), [], attempts, out, handed) is found
-    assert effect(told(verdict), [b"0", b"1"], attempts, out, handed) is Effect.NOTHING
+    assert effect(acknowledgement_of(verdict), [], attempts, out, handed) is found
+    assert effect(acknowledgement_of(verdict), [b"0", b"1"], attempts, out, handed) is Effect.NOTHING
 
 
-def test_while_its_call_is_out_only_the_first_verdict_counts_but_a_delivery_does():
+def test_during_a_call_only_the_first_verdict_counts_except_a_delivery():
     for verdict, found in ((Verdict.NOT_RUN, Effect.NOTHING), (Verdict.DELIVERED, Effect.DELIVER)):
-        assert effect(told(verdict), [], 1, 1, handed=False, heard=True) is found
+        assert effect(acknowledgement_of(verdict), [], 1, 1, handed=False, heard=True) is found
 
 
-def test_two_words_that_nothing_ran_before_the_202_make_one_more_attempt(tmp_path):
+def test_two_not_run_acknowledgements_before_the_202_cause_one_retry(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
         bank.post()
@@ -75,26 +75,26 @@
         assert bank.quiet()
 
 
-def test_for_what_is_over_it_hears_whether_it_says_the_same_until_that_is_forgotten():
-    past = EndHistory(2)
-    past.add(b"m1", "delivered", 100.0)
-    assert past.answer(told(Verdict.DELIVERED), 99.0) is ACKNOWLEDGED
-    assert past.answer(told(Verdict.RAN), 99.0) is DIFFERS
-    assert past.answer(told(Verdict.DELIVERED), 100.0) is UNKNOWN and not past.ends
-    past.add(b"m1", "failed", 200.0)
-    assert past.answer(told(Verdict.RAN), 150.0) is ACKNOWLEDGED
-    assert past.answer(told(Verdict.DELIVERED), 150.0) is LATE
+def test_acknowledgement_of_an_ended_message_is_compared_with_its_end_until_expiry():
+    history = EndHistory(2)
+    history.add(b"m1", "delivered", 100.0)
+    assert history.answer(acknowledgement_of(Verdict.DELIVERED), 99.0) is ACKNOWLEDGED
+    assert history.answer(acknowledgement_of(Verdict.RAN), 99.0) is DIFFERS
+    assert history.answer(acknowledgement_of(Verdict.DELIVERED), 100.0) is UNKNOWN and not history.ends
+    history.add(b"m1", "failed", 200.0)
+    assert history.answer(acknowledgement_of(Verdict.RAN), 150.0) is ACKNOWLEDGED
+    assert history.answer(acknowledgement_of(Verdict.DELIVERED), 150.0) is LATE
     for name in (b"m2", b"m3"):
-        past.add(name, "refused", 200.0)
-    assert list(past.ends) == [b"m2", b"m3"], "the number of ends is not bounded"
-    assert past.answer(told(Verdict.NOT_RUN, message=b"m2"), 150.0) is ACKNOWLEDGED
+        history.add(name, "refused", 200.0)
+    assert list(history.ends) == [b"m2", b"m3"], "the number of ends is not bounded"
+    assert history.answer(acknowledgement_of(Verdict.NOT_RUN, message=b"m2"), 150.0) is ACKNOWLEDGED
 
 
 def event(**changes):
     return Event({name: value for name, value in (EVENT | changes).items() if value is not None}, None)
 
 
-def test_an_event_names_what_it_acknowledges():
+def test_event_attributes_identify_the_acknowledged_message():
     found = acknowledgement(event(), ACKS)
     assert (found.destination, found.message, found.verdict) == (7, b"m1", Verdict.DELIVERED)
     assert acknowledgement(event(id="a2"), ACKS).mark != found.mark
@@ -108,7 +108,7 @@
     ("changes", "attribute", "status"),
     [({"source": "/x"}, "source", 403), ({"causationid": None}, "causationid", 400)],
 )
-def test_one_that_cannot_be_placed_names_the_attribute(changes, attribute, status):
+def test_invalid_acknowledgement_is_rejected_with_the_attribute_at_fault(changes, attribute, status):
     with pytest.raises(BadEvent) as caught:
         acknowledgement(event(**changes), ACKS)
     assert (caught.value.attribute, caught.value.status) == (attribute, status)
@@ -185,7 +185,7 @@
     return decorate
 
 
-def test_a_positive_one_delivers_and_the_same_again_changes_nothing(tmp_path):
+def test_positive_acknowledgement_delivers_and_a_duplicate_has_no_effect(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
         await bank.handed()
@@ -222,7 +222,7 @@
 @pytest.mark.parametrize(
     ("kind", "cls", "sends"), [(NEVER, "pay", 2), (NEVER, "note", 2), (BROKE, "note", 2)]
 )
-def test_by_a_negative_one_it_goes_again_where_that_can_do_no_harm(tmp_path, kind, cls, sends):
+def test_negative_acknowledgement_causes_a_retry_if_that_is_safe(tmp_path, kind, cls, sends):
     @with_bank(tmp_path)
     async def _(bank):
         first = await bank.handed(cls)
@@ -239,7 +239,7 @@
         assert bank.node.idle.is_set() and bank.quiet()
 
 
-def test_a_negative_one_of_what_must_not_run_twice_and_may_have_run_is_its_end(tmp_path):
+def test_negative_acknowledgement_ends_an_unsafe_message_that_may_have_run(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
         await bank.handed()
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize(("kind", "end", "sends"), [(DONE, None, 1), (BROKE, "dead", 1), (NEVER, None, 2)])
-def test_one_that_comes_before_the_202_counts(tmp_path, kind, end, sends):
+def test_acknowledgement_before_the_202_counts(tmp_path, kind, end, sends):
     @with_bank(tmp_path)
     async def _(bank):
         bank.post()
@@ -264,7 +264,7 @@
         assert bank.partner.requests.empty() and not bank.journal.live.keys() - {1}
 
 
-def test_one_that_comes_after_its_connection_broke_still_delivers_what_may_go_again(tmp_path):
+def test_acknowledgement_after_a_broken_connection_still_delivers(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
         bank.post("note")
@@ -274,7 +274,7 @@
         assert bank.node.idle.is_set() and bank.quiet()
 
 
-def test_without_one_it_fails_before_its_time_is_up_and_one_that_comes_then_is_late(tmp_path):
+def test_missing_acknowledgement_fails_the_message_before_its_deadline(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
         loop = asyncio.get_running_loop()
@@ -285,7 +285,7 @@
         assert bank.partner.requests.empty()
 
 
-def test_one_for_a_message_that_nobody_knows_or_another_partner_has_is_told_so(tmp_path):
+def test_acknowledgement_of_an_unknown_or_foreign_message_is_rejected(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
         await bank.handed()
@@ -295,7 +295,7 @@
         assert bank.node.messages[1].handed
 
 
-def test_one_for_a_message_that_was_never_sent_is_told_so(tmp_path):
+def test_acknowledgement_of_an_unsent_message_is_rejected(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
         bank.node.registry.apply_update(
@@ -307,7 +307,7 @@
         assert bank.node.by_id
 
 
-def test_an_event_is_acknowledged_by_its_own_identity_alone_or_in_a_batch(tmp_path):
+def test_event_is_acknowledged_by_its_identity_alone_or_in_a_batch(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
         browser = Browser(*await asyncio.open_connection(*bank.http))
@@ -324,7 +324,7 @@
         assert (await browser.answer())[2]["state"] == "delivered"
 
 
-def test_outstanding_ones_outlast_the_process_and_so_does_what_was_heard(tmp_path):
+def test_pending_and_received_acknowledgements_survive_a_restart(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
         await bank.handed()
@@ -344,7 +344,7 @@
         assert not bank.journal.live and bank.quiet()
 
 
-def test_after_a_restart_what_was_not_acknowledged_fails_in_time(tmp_path):
+def test_unacknowledged_message_fails_in_time_after_a_restart(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
         await bank.handed(left_ms=900.0)
@@ -378,7 +378,7 @@
 
 
 @pytest.mark.parametrize(("kind", "then"), [(DONE, "m2"), (NEVER, "m1"), (BROKE, "m2")])
-def test_what_keeps_an_order_waits_for_the_acknowledgement_of_the_one_before(tmp_path, kind, then):
+def test_ordered_message_waits_for_the_acknowledgement_of_its_predecessor(tmp_path, kind, then):
     @with_bank(tmp_path)
     async def _(bank):
         ordered(bank)
@@ -402,7 +402,7 @@
         assert bank.ends.empty() is (kind is not BROKE)
 
 
-def test_what_keeps_an_order_fails_without_an_acknowledgement_and_the_next_goes(tmp_path):
+def test_unacknowledged_ordered_message_fails_and_the_next_is_sent(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
         ordered(bank)
@@ -415,7 +415,7 @@
         await bank.node.idle.wait()
 
 
-def test_json_of_the_answer_names_the_acknowledgement(tmp_path):
+def test_json_answer_identifies_the_acknowledgement(tmp_path):
     @with_bank(tmp_path)
     async def _(bank):
         await bank.handed()
