--- a/tests/test_acknowledgements_crash.py
+++ b/tests/test_acknowledgements_crash.py
@@ -12,45 +12,45 @@
 
 DISK = 400_000.0
 MESSAGES = 16
-ACK_S, AGAIN_S = 0.3, 0.4  # until an acknowledgement is sent, and until it is repeated
+ACK_DELAY_S, ACK_REPEAT_S = 0.3, 0.4  # until an acknowledgement is sent, and until it is repeated
 
 
 class Bank:
     """Sends acknowledgements over all processes: each until it is answered, and once more."""
 
     def __init__(self, outside):
-        self.outside, self.life = outside, None
-        self.words = {}  # unanswered verdicts by mark
-        self.said = set()
+        self.outside, self.process = outside, None
+        self.unanswered = {}  # unanswered verdicts by mark
+        self.sent = set()
 
     def owe(self, name, verdict, mark):
-        self.words[mark] = (name, verdict)
-        self.outside.time.call_later(ACK_S, self.say, name, verdict, mark)
+        self.unanswered[mark] = (name, verdict)
+        self.outside.time.call_later(ACK_DELAY_S, self.send, name, verdict, mark)
 
-    def start(self, life):
-        self.life = life
-        for mark, (name, verdict) in list(self.words.items()):
-            self.outside.time.call_later(ACK_S, self.say, name, verdict, mark)
+    def start(self, process):
+        self.process = process
+        for mark, (name, verdict) in list(self.unanswered.items()):
+            self.outside.time.call_later(ACK_DELAY_S, self.send, name, verdict, mark)
 
-    def say(self, name, verdict, mark, again=True):
+    def send(self, name, verdict, mark, again=True):
         if verdict is Verdict.DELIVERED:
             self.outside.delivered.add(name)
-        elif mark not in self.said:  # from now on the bank will not process it
+        elif mark not in self.sent:  # from now on the bank will not process it
             self.outside.may_have_run.discard(name)
-        self.said.add(mark)
+        self.sent.add(mark)
 
         def heard(reply):
             if reply.status == "refused":
-                self.outside.time.call_later(AGAIN_S, self.say, name, verdict, mark)
+                self.outside.time.call_later(ACK_REPEAT_S, self.send, name, verdict, mark)
                 return
-            self.words.pop(mark, None)
+            self.unanswered.pop(mark, None)
             if again:
-                self.outside.time.call_later(AGAIN_S, self.say, name, verdict, mark, False)
+                self.outside.time.call_later(ACK_REPEAT_S, self.send, name, verdict, mark, False)
 
-        self.life.node.acknowledge(Acknowledgement(7, name, verdict, mark), heard)
+        self.process.node.acknowledge(Acknowledgement(7, name, verdict, mark), heard)
 
 
-class Acknowledging(Partner):
+class AcknowledgingPartner(Partner):
     """Answers 202 instead of delivering; reports every third message first as not run."""
 
     def end(self, endpoint, attempt, outcome):
@@ -62,13 +62,13 @@
         self.outside.may_have_run.add(name)
         result = Result(attempt, endpoint, outcome, CALL_S * 1000.0, 0.0, over=True, later=True)
         self.node.attempt_ended(result)
-        denied = int(name[1:]) % 3 == 0 and nth < 3
-        verdict = Verdict.NOT_RUN if denied else Verdict.DELIVERED
+        not_run = int(name[1:]) % 3 == 0 and nth < 3
+        verdict = Verdict.NOT_RUN if not_run else Verdict.DELIVERED
         self.outside.bank.owe(name, verdict, b"%s %d" % (name, nth))
 
 
-class AckLife(SimulatedProcess):
-    partner = Acknowledging
+class AcknowledgingProcess(SimulatedProcess):
+    partner = AcknowledgingPartner
     codecs = {7: CloudEvents("binary", "/rushhitch", {}, acknowledged=True)}
 
     def __init__(self, outside, files, number):
@@ -85,20 +85,20 @@
     def work(outside):
         files = CrashingFiles(folder, at, how, DISK)
         try:
-            life = AckLife(outside, files, 1)
-            load(life, 0, MESSAGES)
+            process = AcknowledgingProcess(outside, files, 1)
+            load(process, 0, MESSAGES)
             settle(outside)
         except Crash:
             pass
         outside.killed()
         files.die()
         reached.append(files.reached)
-        life = AckLife(outside, CountingFiles(folder, DISK), 2)
+        process = AcknowledgingProcess(outside, CountingFiles(folder, DISK), 2)
         settle(outside)
         outside.check()
-        assert not life.journal.live and not life.node.by_id and not life.node.messages
-        assert not outside.bank.words, "an acknowledgement is unanswered"
-        life.files.die()
+        assert not process.journal.live and not process.node.by_id and not process.node.messages
+        assert not outside.bank.unanswered, "an acknowledgement is unanswered"
+        process.files.die()
         if not files.reached:
             assert outside.delivered and any(count > 1 for count in outside.sends.values())
 
