--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -27,16 +27,16 @@
 
 class Customer(Program):
     def config(self):
-        told = super().config()
-        told["settings"] |= {"categories": [BERTH], "tenants": TENANTS}
-        return told
+        config = super().config()
+        config["settings"] |= {"categories": [BERTH], "tenants": TENANTS}
+        return config
 
 
 def with_customer(folder, batch=1):
     return run_with_program(Customer(folder, batch))
 
 
-def test_the_key_of_repeats_goes_to_the_endpoint_as_the_client_gave_it(tmp_path):
+def test_idempotency_key_is_forwarded_unchanged(tmp_path):
     # Without the key the endpoint cannot detect a duplicate, and a retry runs twice.
     @with_customer(tmp_path)
     async def _(program):
@@ -49,7 +49,7 @@
         assert "idempotency-key" not in (await program.partner.next()).headers
 
 
-def test_each_message_of_a_batch_has_its_own_key_of_repeats(tmp_path):
+def test_each_message_of_a_batch_has_its_own_idempotency_key(tmp_path):
     @with_customer(tmp_path, batch=4)
     async def _(program):
         client = await program.client()
@@ -60,7 +60,7 @@
         assert request.body == b"m1 f59ace57a939f76f 5\r\nhello\r\nm2 - 3\r\nyou\r\n"
 
 
-def test_the_key_of_repeats_outlasts_the_process(tmp_path):
+def test_idempotency_key_survives_a_restart(tmp_path):
     @with_customer(tmp_path)
     async def _(program):
         client = await program.client()
@@ -76,8 +76,8 @@
 
 def node_of(tmp_path, heard):
     """A node whose events for the decision module are recorded in `heard`."""
-    told = json.loads(json.dumps(TOLD)) | {"categories": [BERTH], "tenants": TENANTS}
-    settings = parse_settings(json.dumps(told).encode())
+    config = json.loads(json.dumps(TOLD)) | {"categories": [BERTH], "tenants": TENANTS}
+    settings = parse_settings(json.dumps(config).encode())
     node = Node(settings, Dispatcher(settings, 1), Journal(tmp_path, 3e6), lambda *end: None)
     node.registry.destinations[7] = 0.0
     node.note = heard.append
@@ -101,7 +101,7 @@
     run(work())
 
 
-def test_a_message_that_was_resumed_counts_against_its_tenant_again(tmp_path):
+def test_resumed_message_counts_against_its_tenant(tmp_path):
     async def work():
         journal = Journal(tmp_path, 3e6)
         journal.record_accepted(JournalEntry(1, b"m1", "berth", 7, 4e9, b"x", tenant="comune"))
@@ -116,7 +116,7 @@
     run(work())
 
 
-def test_a_message_without_an_allowance_is_never_over_one():
+def test_message_without_a_tenant_is_never_over_an_allowance():
     settings = parse_settings(json.dumps(TOLD | {"tenants": TENANTS}).encode())
     dispatcher = Dispatcher(settings, 1)
     dispatcher.now = 0.0
@@ -124,7 +124,7 @@
     assert any(dispatcher.over_share(0) for _ in range(50))
 
 
-def test_the_journal_keeps_tenant_and_key_and_an_older_build_passes_over_them():
+def test_journal_stores_tenant_and_key_and_older_builds_ignore_them():
     message = JournalEntry(1, b"m1", "berth", 7, 4e9, b"body", tenant="comune", idempotency=b"f59a")
     read = form.read_message(form.message_payload(message), {})
     assert (read.tenant, read.idempotency, read.body) == ("comune", b"f59a", b"body")
@@ -135,5 +135,5 @@
     size = form.MESSAGE_HEAD.size + len(b"m1") + len("berth")
     payload = form.message_payload(message)
     (length,) = form.LENGTH.unpack_from(payload, size)
-    told = json.loads(payload[size + form.LENGTH.size :][:length])
-    assert told == [None, [], None, None, [], "comune", "f59a"]  # older builds read the first five
+    fields = json.loads(payload[size + form.LENGTH.size :][:length])
+    assert fields == [None, [], None, None, [], "comune", "f59a"]  # older builds read the first five
