--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -70,7 +70,7 @@
         assert await caller.result() == end
 
 
-def test_a_refused_connection_proves_that_nothing_ran():
+def test_refused_connection_proves_that_nothing_ran():
     @with_caller()
     async def _(caller):
         with socket.socket() as closed:  # bound, but nobody listens there
@@ -80,7 +80,7 @@
             assert await caller.result() == (Outcome.CONNECT_FAILED, False, 0.0)
 
 
-def test_a_break_before_the_last_byte_is_written_proves_that_nothing_ran():
+def test_reset_before_the_last_byte_is_written_proves_that_nothing_ran():
     # If an incomplete request counted as one that may have run, an unsafe message would be lost.
     async def cut_off(reader, writer):
         await reader.read(100)
@@ -97,7 +97,7 @@
 LONG_S = 20.0  # the liveness check ends with the reset it waits for, or the test fails
 
 
-def test_a_reset_while_the_request_comes_in_proves_that_nothing_ran(monkeypatch):
+def test_reset_before_the_request_is_complete_proves_that_nothing_ran(monkeypatch):
     # The request was never complete, so a reset must not cost an unsafe message its retry.
     monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", LONG_S)
     monkeypatch.setattr(connection, "MAX_LAST_BYTE_DELAY_S", LONG_S)
@@ -114,7 +114,7 @@
         assert await caller.result() == (Outcome.CONNECT_FAILED, False, 0.0)
 
 
-def test_a_call_on_a_connection_that_had_died_unseen_goes_on_another():
+def test_call_on_a_dead_idle_connection_is_repeated_on_another():
     # The peer or a middlebox dropped the idle connection silently.
     async def drops(reader, writer):
         await reader.readuntil(b"hello")
@@ -135,7 +135,7 @@
         assert dropped == ["e1"] and caller.endpoints.connections == 1
 
 
-def test_a_break_after_the_last_byte_may_have_run():
+def test_reset_after_the_last_byte_may_have_run():
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -143,7 +143,7 @@
         assert await caller.result() == (Outcome.RESET, False, 0.0)
 
 
-def test_an_end_in_place_of_an_answer_may_have_run():
+def test_close_without_an_answer_may_have_run():
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -169,7 +169,7 @@
         request.reset()
 
 
-def test_at_its_time_a_call_is_given_up_by_closing_its_connection():
+def test_timeout_closes_the_connection_of_the_call():
     @with_caller()
     async def _(caller):
         caller.send(1, patience=0.3)
@@ -178,7 +178,7 @@
         assert await request.ended()
 
 
-def test_a_call_that_is_called_off_closes_its_connection():
+def test_cancel_closes_the_connection_of_the_call():
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -188,7 +188,7 @@
         assert await request.ended()
 
 
-def test_a_connection_that_its_other_side_has_ended_is_not_written_to():
+def test_connection_closed_by_the_peer_is_not_reused():
     # A call on a stale connection ends with a reset, and an unsafe message would be lost.
     @with_caller()
     async def _(caller):
@@ -205,7 +205,7 @@
         assert await caller.result() == (Outcome.OK, True, 0.0)
 
 
-def test_a_connection_with_stray_bytes_on_it_is_not_written_to():
+def test_connection_with_unsolicited_data_is_not_reused():
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -220,7 +220,7 @@
         assert await caller.result() == (Outcome.FULL, False, 0.0)
 
 
-def test_a_connection_that_has_idled_for_nearly_its_time_is_not_written_to():
+def test_connection_near_its_idle_timeout_is_not_reused():
     @with_caller(conn_idle_ms=0.0)
     async def _(caller):
         for number in (1, 2):
@@ -231,7 +231,7 @@
             await caller.result()
 
 
-def test_an_idle_connection_that_its_other_side_ends_is_closed_at_once():
+def test_idle_connection_closed_by_the_peer_is_closed_at_once():
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -246,7 +246,7 @@
         assert await request.ended()
 
 
-def test_no_more_connections_are_open_than_the_sockets_allow():
+def test_number_of_connections_stays_within_the_limit():
     # Descriptors must not run out: an idle connection is evicted, and if there is none nothing is sent.
     @with_caller()
     async def _(caller):
@@ -266,7 +266,7 @@
         assert caller.partner.requests.empty()
 
 
-def test_the_connection_used_last_is_reused_first():
+def test_most_recently_used_connection_is_reused_first():
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -281,7 +281,7 @@
         assert (await caller.partner.next()).connection == requests[1].connection
 
 
-def test_an_endpoint_that_moves_is_called_at_its_new_address_only():
+def test_endpoint_that_moves_is_called_only_at_its_new_address():
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -296,14 +296,14 @@
         assert await caller.result() == (Outcome.OK, True, 0.0)
 
 
-def test_the_messages_of_a_batch_end_each_in_their_own_way_and_a_wait_binds():
+def test_messages_of_a_batch_have_their_own_outcomes_and_its_retry_after():
     @with_caller(batch=20)
     async def _(caller):
         caller.send(*range(1, 6))
         request = await caller.partner.next()
         assert request.target == "/receive-many" and caller.partner.requests.empty()
-        told = [b"m1 accepted", b"m2 fault", b"m3 deferred", b"m4 expired", b"m5 no_more", b""]
-        request.answer(200, b"\r\n".join(told), X_Come_Back_Ms="400")
+        lines = [b"m1 accepted", b"m2 fault", b"m3 deferred", b"m4 expired", b"m5 no_more", b""]
+        request.answer(200, b"\r\n".join(lines), X_Come_Back_Ms="400")
         assert [await caller.result() for _ in range(5)] == [
             (Outcome.OK, True, 400.0),
             (Outcome.ERROR, False, 400.0),
@@ -336,7 +336,7 @@
         (b"HTTP/1.1 503 x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", Outcome.ERROR),
     ],
 )
-def test_a_spoilt_answer_may_have_run_unless_its_first_line_says_200(spoilt, ends, monkeypatch):
+def test_invalid_answer_may_have_run_unless_its_status_line_says_200(spoilt, ends, monkeypatch):
     # An unsafe message that has run must not be retried, and an endless answer must not be awaited.
     monkeypatch.setattr(endpoints, "RESPONSE_REMAINDER_S", 0.2)
 
@@ -353,7 +353,7 @@
 @pytest.mark.parametrize(
     "more", [HEAD % (200, 0), b"\x00 noise", b"HTTP/1.1 102 x\r\n\r\n", HEAD % (500, 3) + b"abc"]
 )
-def test_an_answer_that_brings_more_than_belongs_to_it_is_good_and_its_connection_is_closed(more):
+def test_answer_with_trailing_data_counts_and_its_connection_is_closed(more):
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -363,7 +363,7 @@
         assert await request.ended()
 
 
-def test_a_report_that_cannot_be_read_and_1xx_ahead_spoil_nothing():
+def test_unreadable_load_report_and_1xx_answers_are_ignored():
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -376,19 +376,19 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "body",
     [b"", b"m1 accepted\r\n", b"m1 accepted\r\nm2 perhaps\r\n", b"m1 accepted\r\nm1 accepted\r\n", b"\xff"],
 )
-def test_a_batch_counts_by_a_whole_answer_only(told):
+def test_incomplete_batch_answer_counts_as_an_error(body):
     @with_caller(batch=20)
     async def _(caller):
         caller.send(1, 2)
         request = await caller.partner.next()
-        request.answer(200, told)
+        request.answer(200, body)
         assert [await caller.result(), await caller.result()] == [(Outcome.ERROR, False, 0.0)] * 2
 
 
-def test_an_answer_that_does_not_end_is_found_by_a_cancel():
+def test_cancel_ends_a_call_with_an_endless_answer():
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -402,7 +402,7 @@
         assert await request.ended()
 
 
-def test_of_an_endpoint_that_has_gone_nothing_is_kept_and_nothing_is_sent_there():
+def test_removed_endpoint_leaves_no_state_and_gets_no_calls():
     # State of removed endpoints must not accumulate, a connection must not be reused for another endpoint at
     # the same address, and a send to a removed endpoint must not fail the other sends of the turn.
     @with_caller()
@@ -427,7 +427,7 @@
         assert probes == [("e1", Outcome.NOT_EXECUTED, 0.0)]
 
 
-def test_connections_too_old_to_be_used_are_closed_when_another_falls_idle():
+def test_expired_connections_are_closed_when_another_becomes_idle():
     @with_caller()
     async def _(caller):
         caller.send(1)
@@ -443,7 +443,7 @@
 
 
 @pytest.mark.parametrize(("status", "outcome"), [(429, Outcome.FULL), (500, Outcome.ERROR)])
-def test_a_batch_may_fare_alike(status, outcome):
+def test_status_of_a_batch_applies_to_all_messages(status, outcome):
     @with_caller(batch=20)
     async def _(caller):
         caller.send(1, 2)
@@ -451,7 +451,7 @@
         assert [await caller.result(), await caller.result()] == [(outcome, False, 0.0)] * 2
 
 
-def test_a_batch_holds_no_more_than_its_kind_takes():
+def test_batch_size_is_limited_by_the_kind():
     @with_caller(batch=2)
     async def _(caller):
         caller.send(1, 2, 3)
@@ -468,7 +468,7 @@
 
 
 @pytest.mark.parametrize(("status", "body"), ENDS_OF_TWO)
-def test_the_answer_to_a_batch_of_which_one_message_was_given_up_proves_nothing(status, body):
+def test_batch_answer_proves_nothing_if_one_message_was_given_up(status, body):
     # The partner may treat the whole call as given up, so its answer counts for no message of it. They may
     # have run, so unsafe ones must not be retried either.
     @with_caller(batch=20, second_copies=True)
@@ -483,7 +483,7 @@
 
 
 @pytest.mark.parametrize("second_copies", [False, True])
-def test_a_batch_ends_as_a_whole_with_the_first_time_that_is_up(second_copies):
+def test_batch_times_out_as_a_whole_with_its_earliest_deadline(second_copies):
     # A late answer must not count for messages with a later deadline, and no message may be retried while its
     # batch is still in flight.
     @with_caller(batch=20, second_copies=second_copies)
@@ -498,7 +498,7 @@
 
 
 @pytest.mark.parametrize("batch", [1, 4])
-def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_sent(batch):
+def test_retry_that_connects_after_its_window_is_not_sent(batch):
     # A retry that was decided in time but waits for its connection would count twice at the partner.
     @with_caller(batch=batch)
     async def _(caller):
@@ -520,7 +520,7 @@
 
 
 @pytest.mark.parametrize("bar", ["wait", "drain", "move"])
-def test_a_call_whose_connection_comes_up_after_a_told_wait_a_drain_or_a_move_is_not_sent(bar):
+def test_call_that_connects_after_a_retry_after_a_drain_or_a_move_is_not_sent(bar):
     # The decision was made before the endpoint became unavailable; the call must not be sent afterwards.
     @with_caller()
     async def _(caller):
@@ -560,7 +560,7 @@
         assert caller.partner.requests.empty()
 
 
-def test_a_probe_whose_connection_comes_up_after_a_drain_is_not_written():
+def test_probe_that_connects_after_a_drain_is_not_sent():
     @with_caller()
     async def _(caller):
         results, reached, go_on = asyncio.Queue(), asyncio.Event(), asyncio.Event()
@@ -580,7 +580,7 @@
         assert caller.partner.requests.empty() and not caller.endpoints.connections
 
 
-def test_whatever_goes_wrong_in_a_call_its_message_gets_an_end(caplog):
+def test_unexpected_exception_in_a_call_still_gives_a_result(caplog):
     @with_caller()
     async def _(caller):
         async def broken(*_):
@@ -594,7 +594,7 @@
 
 
 @pytest.mark.parametrize(("status", "outcome"), [(200, Outcome.OK), (503, Outcome.FULL)])
-def test_a_probe_asks_whether_the_endpoint_is_alive(status, outcome):
+def test_probe_requests_alive(status, outcome):
     @with_caller()
     async def _(caller):
         results = asyncio.Queue()
@@ -605,7 +605,7 @@
         assert (await results.get())[:2] == ("e1", outcome)
 
 
-def test_a_spoilt_answer_to_a_probe_is_no_health(monkeypatch):
+def test_invalid_answer_to_a_probe_is_a_failure(monkeypatch):
     @with_caller(connect_timeout_ms=300.0)
     async def _(caller):
         results = asyncio.Queue()
