--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -10,8 +10,8 @@
 from rushhitch.core.operator_commands import OperatorCommands
 
 
-def counted(told):
-    return sum(sum(told[column].values()) for column in ("success", "busy", "failure"))
+def counted(metrics):
+    return sum(sum(metrics[column].values()) for column in ("success", "busy", "failure"))
 
 
 async def until(condition):
@@ -19,7 +19,7 @@
         await asyncio.sleep(0.01)
 
 
-def test_taken_is_success_and_busy_and_failure_and_inflight_at_each_point(tmp_path):
+def test_accepted_equals_success_busy_failure_and_inflight_at_each_stage(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
         info = OperatorCommands(bench.node).info
@@ -43,26 +43,26 @@
         assert counted(info()) == 2 and info()["inflight"] == 0 and info()["backend_calls"] == 3
 
 
-def test_a_message_that_is_turned_away_at_the_door_is_busy_once(tmp_path, monkeypatch):
+def test_refused_submission_counts_as_busy_once(tmp_path, monkeypatch):
     @with_bench(tmp_path)
     async def _(bench):
         monkeypatch.setattr(bench.journal, "has_room", lambda body: False)
         bench.offer(Submission(b"m1", "note", 7, 6000.0, b""))
         assert (await bench.answers.get()).status == "refused"
-        told = OperatorCommands(bench.node).info()
-        assert told["busy"] == {"note": 1, "pay": 0} and counted(told) == 1 and told["inflight"] == 0
+        metrics = OperatorCommands(bench.node).info()
+        assert metrics["busy"] == {"note": 1, "pay": 0} and counted(metrics) == 1 and metrics["inflight"] == 0
 
 
-def test_a_message_that_its_client_abandoned_is_counted_nowhere(tmp_path):
+def test_withdrawn_message_is_not_counted(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
         number = bench.node.offer(Submission(b"m1", "note", 7, 6000.0, b""), bench.answers.put_nowait)
         bench.node.withdraw(number)
-        told = OperatorCommands(bench.node).info()
-        assert counted(told) == 0 and told["inflight"] == 0
+        metrics = OperatorCommands(bench.node).info()
+        assert counted(metrics) == 0 and metrics["inflight"] == 0
 
 
-def test_each_process_counts_from_0_and_an_end_after_a_restart_is_counted_where_it_came(tmp_path):
+def test_counters_start_at_0_and_the_process_that_ends_a_message_counts_it(tmp_path):
     async def work():
         bench = await Bench().start(tmp_path)
         bench.offer(Submission(b"m1", "note", 7, 6000.0, b""))
@@ -73,8 +73,8 @@
         bench.node.lifecycle.enter(Phase.RELINQUISHED)  # simulates a crash: it has no further effect
         again = await Bench().start(tmp_path)
         assert OperatorCommands(again.node).info()["inflight"] == before["inflight"] == 1
-        told = OperatorCommands(again.node).info()
-        assert counted(told) == 0 and told["backend_calls"] == 0
+        metrics = OperatorCommands(again.node).info()
+        assert counted(metrics) == 0 and metrics["backend_calls"] == 0
         (await again.partner.next()).answer(200)
         await until(lambda: OperatorCommands(again.node).info()["success"]["note"] == 1)
         again.journal.close()
