--- a/tests/test_new_settings.py
+++ b/tests/test_new_settings.py
@@ -40,11 +40,11 @@
 def classes(**changes):
     """The settings of the test bed with the given changes."""
     harness = DispatcherHarness()
-    told = {key: getattr(harness.settings, key) for key in harness.settings.__dataclass_fields__}
-    return Settings(**(told | changes))
+    values = {key: getattr(harness.settings, key) for key in harness.settings.__dataclass_fields__}
+    return Settings(**(values | changes))
 
 
-def test_a_message_keeps_its_effect_though_the_class_becomes_unsafe():
+def test_open_message_keeps_its_effect_if_the_class_becomes_unsafe():
     harness = DispatcherHarness(Entry("e1", 1))
     harness.arrive(1, SAFE)
     rest = harness.settings.classes[1:]
@@ -72,7 +72,7 @@
     assert len(harness.where(1)) == 3 and len(harness.where(2)) == 1
 
 
-def test_a_class_that_was_dropped_goes_with_its_last_message():
+def test_removed_class_is_kept_until_its_last_message_ends():
     harness = DispatcherHarness(Entry("e1", 1))
     harness.arrive(1, UNSAFE)
     kept = tuple(cls for cls in harness.settings.classes if cls.name != "payment")
@@ -84,15 +84,15 @@
     assert "payment" not in harness.dispatcher.expected_ms
 
 
-def test_the_history_tells_what_each_message_was_taken_under():
-    def told(effect, attempts):
+def test_history_returns_the_settings_under_which_a_message_was_accepted():
+    def settings_with(effect, attempts):
         row = {"name": "n", "effect": effect, "aimMs": 1500.0, "hardLimitMs": 6000.0} | WORTH
         limits = TOLD["policyLimits"] | {"maxAttempts": attempts}
         return TOLD | {"categories": [row], "policyLimits": limits}
 
     history = SettingsHistory()
     for since, effect, attempts in ((1, "repeatable", 8), (10, "once", 2), (20, "repeatable", 8)):
-        settings = told(effect, attempts)
+        settings = settings_with(effect, attempts)
         made = parse_settings(json.dumps(settings).encode())
         history = history.with_change({"settings": settings, "name": "n0"}, made, since)
     again = SettingsHistory.decode(history.encode())
@@ -101,25 +101,28 @@
         assert (terms.cls.effect, terms.max_attempts) == (effect, attempts)
     assert again.terms_of(10, "other") is None
     assert [period.since for period in again.pruned(15).periods] == [10, 20]
-    assert again.newest_file()["settings"] == told("repeatable", 8) and again.newest_file()["name"] == "n0"
+    assert (
+        again.newest_file()["settings"] == settings_with("repeatable", 8)
+        and again.newest_file()["name"] == "n0"
+    )
 
 
 @given(st.recursive(st.integers(), lambda inner: st.dictionaries(st.text(max_size=3), inner, max_size=3)))
 def test_nothing_is_lacking_in_a_file_beside_itself(value):
-    told = {"settings": value}
-    assert missing_key(told, told) == ""
+    config = {"settings": value}
+    assert missing_key(config, config) == ""
 
 
 @pytest.mark.parametrize(
     "cut, missing",
     [
-        (lambda told: told.pop("limits"), "limits"),
-        (lambda told: told["settings"].pop("quantumMs"), "settings.quantumMs"),
-        (lambda told: told["settings"]["policyLimits"].pop("mayProbe"), "settings.policyLimits.mayProbe"),
-        (lambda told: told["settings"].update(guarantees=3), "settings.guarantees"),
+        (lambda config: config.pop("limits"), "limits"),
+        (lambda config: config["settings"].pop("quantumMs"), "settings.quantumMs"),
+        (lambda config: config["settings"]["policyLimits"].pop("mayProbe"), "settings.policyLimits.mayProbe"),
+        (lambda config: config["settings"].update(guarantees=3), "settings.guarantees"),
     ],
 )
-def test_a_file_that_is_short_of_a_key_is_told_from_a_whole_one(cut, missing):
+def test_missing_key_of_a_configuration_is_named(cut, missing):
     whole = {"limits": {}, "settings": json.loads(json.dumps(TOLD))}
     short = json.loads(json.dumps(whole))
     cut(short)
@@ -131,9 +134,9 @@
 
 def change(program, edit):
     """Replace the configuration file and send SIGHUP."""
-    told = program.config()
-    edit(told)
-    (program.folder / "config.json").write_text(json.dumps(told))
+    config = program.config()
+    edit(config)
+    (program.folder / "config.json").write_text(json.dumps(config))
     program.process.send_signal(signal.SIGHUP)
 
 
@@ -145,18 +148,18 @@
     "not JSON": "name = n0",
 }
 WRONG = {
-    "short of a key": lambda told: told["settings"].pop("policyLimits"),
-    "short of a class's key": lambda told: told["settings"]["categories"][0].pop("effect"),
-    "a deadline of 0": lambda told: told["settings"]["categories"][0].update(hardLimitMs=0),
-    "attempts of -1": lambda told: told["settings"]["policyLimits"].update(maxAttempts=-1),
-    "a wrong type": lambda told: told["settings"]["policyLimits"].update(maxAttempts="8"),
-    "not finite": lambda told: told["settings"]["categories"][0].update(aimMs=float("inf")),
-    "a class twice": lambda told: told["settings"]["categories"].append(EXPRESS | {"name": "note"}),
-    "other kinds": lambda told: told["settings"].update(kinds=["firms", "more"]),
+    "short of a key": lambda config: config["settings"].pop("policyLimits"),
+    "short of a class's key": lambda config: config["settings"]["categories"][0].pop("effect"),
+    "a deadline of 0": lambda config: config["settings"]["categories"][0].update(hardLimitMs=0),
+    "attempts of -1": lambda config: config["settings"]["policyLimits"].update(maxAttempts=-1),
+    "a wrong type": lambda config: config["settings"]["policyLimits"].update(maxAttempts="8"),
+    "not finite": lambda config: config["settings"]["categories"][0].update(aimMs=float("inf")),
+    "a class twice": lambda config: config["settings"]["categories"].append(EXPRESS | {"name": "note"}),
+    "other kinds": lambda config: config["settings"].update(kinds=["firms", "more"]),
 }
 
 
-def test_files_that_are_broken_change_nothing_and_are_counted(tmp_path):
+def test_invalid_files_change_nothing_and_are_counted(tmp_path):
     @with_pair(tmp_path)
     async def _(program):
         client = await program.client()
@@ -167,9 +170,9 @@
                 await asyncio.sleep(0.02)
         for count, edit in enumerate(WRONG.values(), 1 + len(BROKEN)):
 
-            def spoil(told, edit=edit):
-                told["settings"]["categories"].append(EXPRESS)
-                edit(told)
+            def spoil(config, edit=edit):
+                config["settings"]["categories"].append(EXPRESS)
+                edit(config)
 
             change(program, spoil)
             while (await program.figures())["reconfig_failed"] < count:
@@ -179,15 +182,15 @@
         assert await client.add(b"m2", "note") == b"+OK\r\n"
 
 
-def test_a_class_is_added_and_another_dropped_and_open_messages_go_on(tmp_path):
+def test_open_messages_continue_when_classes_are_added_and_removed(tmp_path):
     @with_pair(tmp_path)
     async def _(program):
         client = await program.client()
         assert await client.add(b"old", "note") == b"+OK\r\n"
         request = await program.partner.next()
 
-        def swap(told):
-            told["settings"]["categories"] = [PAY | WORTH, EXPRESS]
+        def swap(config):
+            config["settings"]["categories"] = [PAY | WORTH, EXPRESS]
 
         change(program, swap)
         while not (await program.figures())["reconfig_ok"]:
@@ -202,7 +205,7 @@
         again.answer(200)
 
 
-def test_a_message_of_a_dropped_class_goes_on_after_sigkill_under_the_new_file(tmp_path):
+def test_message_of_a_removed_class_continues_after_sigkill(tmp_path):
     @with_pair(tmp_path)
     async def _(program):
         client = await program.client()
@@ -212,9 +215,9 @@
         config = program.config
 
         def without():
-            told = config()
-            told["settings"]["categories"] = [PAY | WORTH]
-            return told
+            changed = config()
+            changed["settings"]["categories"] = [PAY | WORTH]
+            return changed
 
         program.config = without
         await program.start()
@@ -223,7 +226,7 @@
         again.answer(200)
 
 
-def test_a_start_while_the_file_is_broken_takes_the_last_good_one(tmp_path):
+def test_start_with_an_invalid_file_uses_the_last_valid_one(tmp_path):
     @with_pair(tmp_path)
     async def _(program):
         await program.kill()
@@ -234,7 +237,7 @@
         assert await (await program.client()).add(b"m1") == b"+OK\r\n"
 
 
-def test_a_first_start_without_a_good_file_ends_with_code_2(tmp_path):
+def test_first_start_without_a_valid_file_exits_with_code_2(tmp_path):
     async def work():
         program = await Pair(tmp_path).start_doubles()
         (tmp_path / "config.json").write_text("{")
@@ -245,14 +248,14 @@
     run(work())
 
 
-def test_sighup_twice_at_once_takes_the_newest_file_whole(tmp_path):
+def test_two_sighups_in_a_row_apply_the_newest_file(tmp_path):
     @with_pair(tmp_path)
     async def _(program):
-        def express(told):
-            told["settings"]["categories"].append(EXPRESS)
+        def express(config):
+            config["settings"]["categories"].append(EXPRESS)
 
-        def only_pay(told):
-            told["settings"]["categories"] = [PAY | WORTH]
+        def only_pay(config):
+            config["settings"]["categories"] = [PAY | WORTH]
 
         change(program, express)
         change(program, only_pay)
