--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -58,10 +58,10 @@
         return peer
 
 
-def with_bench(folder, **told):
+def with_bench(folder, **options):
     def decorate(test):
         async def work():
-            bench = await Bench().start(folder, **told)
+            bench = await Bench().start(folder, **options)
             try:
                 await test(bench)
             finally:
@@ -72,7 +72,7 @@
     return decorate
 
 
-def test_a_message_that_the_decisions_forget_gets_its_end_all_the_same(tmp_path, monkeypatch):
+def test_message_forgotten_by_the_decision_module_still_ends(tmp_path, monkeypatch):
     monkeypatch.setattr(Dispatcher, "handle", lambda self, now, events: [])
 
     @with_bench(tmp_path)
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("cls", ["note", "pay"])
-def test_an_answer_that_comes_as_the_time_is_up_is_no_delivery_and_the_last_call(tmp_path, cls):
+def test_answer_at_the_deadline_is_no_delivery_and_there_is_no_further_call(tmp_path, cls):
     # The client's clock started earlier, so for it the message may have expired before the answer. The
     # delivery would then not count, and without a notice the message would be lost.
     @with_bench(tmp_path)
@@ -99,7 +99,7 @@
         assert bench.partner.requests.empty()
 
 
-def test_a_call_is_waited_for_until_its_message_is_out_of_time(tmp_path):
+def test_call_times_out_at_the_deadline_of_its_message(tmp_path):
     # A shorter timeout gave up calls of messages with little time left, and all messages of the same batch.
     @with_bench(tmp_path)
     async def _(bench):
@@ -111,7 +111,7 @@
         assert attempt.stop_at == attempt.due == call.first_due == message.due
 
 
-def test_a_fault_in_the_decisions_refuses_what_came_and_is_logged(tmp_path, monkeypatch, caplog):
+def test_exception_in_the_decision_module_refuses_new_messages_and_is_logged(tmp_path, monkeypatch, caplog):
     @with_bench(tmp_path)
     async def _(bench):
         def broken(self, now, events):
@@ -127,7 +127,7 @@
     assert "Traceback" in caplog.text and "injected fault" in caplog.text
 
 
-def test_nothing_is_taken_on_or_sent_that_the_journal_does_not_tell(tmp_path, monkeypatch):
+def test_nothing_is_accepted_or_sent_if_the_journal_cannot_be_written(tmp_path, monkeypatch):
     @with_bench(tmp_path)
     async def _(bench):
         def full(fd, data):
@@ -144,7 +144,7 @@
         assert (await bench.partner.next()).headers["x-correlation-id"] == "m2"
 
 
-def test_a_message_that_is_handed_in_twice_is_taken_on_once(tmp_path):
+def test_message_submitted_twice_is_accepted_once(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer()
@@ -154,12 +154,12 @@
         assert len(bench.node.by_id) == 1
 
 
-def test_what_is_cold_is_told_to_the_decisions_of_the_next_process(tmp_path, monkeypatch):
-    told = []
+def test_cold_state_is_passed_to_the_next_process(tmp_path, monkeypatch):
+    received = []
     handle = Dispatcher.handle
 
     def listening(self, now, events):
-        told.extend(events)
+        received.extend(events)
         return handle(self, now, events)
 
     monkeypatch.setattr(Dispatcher, "handle", listening)
@@ -171,12 +171,12 @@
 
     @with_bench(tmp_path)
     async def _(bench):
-        assert ColdStateRestored("e1", 2.5) in told and not any(
-            isinstance(event, MessageAccepted) for event in told
+        assert ColdStateRestored("e1", 2.5) in received and not any(
+            isinstance(event, MessageAccepted) for event in received
         )
 
 
-def test_a_full_house_refuses_and_tells_when_to_come_back(tmp_path):
+def test_limit_of_open_messages_refuses_with_retry_after(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
         for number in range(bench.node.settings.max_held + 1):
@@ -184,7 +184,7 @@
         assert await bench.answers.get() == Reply("refused", BUSY_MS)
 
 
-def test_an_entry_that_makes_no_sense_is_left_out_and_one_that_is_gone_needs_its_id_only(tmp_path, caplog):
+def test_invalid_row_is_skipped_and_a_deleted_one_needs_only_its_id(tmp_path, caplog):
     @with_bench(tmp_path)
     async def _(bench):
         rows = [bench.row | {"id": "e2", "kind": "unheard"}, bench.row | {"id": "e3", "addr": "nowhere"}]
@@ -207,14 +207,14 @@
         ({"kind": "unheard", "state": "DELETED"}, State.GONE),
     ],
 )
-def test_an_endpoint_whose_entry_makes_no_sense_is_not_taken_for_gone(tmp_path, spoilt, state):
+def test_known_endpoint_with_an_invalid_row_is_not_removed(tmp_path, spoilt, state):
     # An invalid row must not remove a partner's only endpoint.
     @with_bench(tmp_path)
     async def _(bench):
-        told = []
-        bench.node.registry.note = told.append
+        events = []
+        bench.node.registry.note = events.append
         bench.node.registry.apply_update({"version": 42, "full": True, "servers": [bench.row | spoilt]})
-        (entry,) = told[-1].entries
+        (entry,) = events[-1].entries
         assert (entry.endpoint, entry.state) == ("e1", state)
         if state is State.GONE:
             assert "e1" not in bench.node.endpoints.entries
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("full", [True, False])
-def test_what_a_whole_list_leaves_out_is_gone(tmp_path, full):
+def test_endpoint_missing_from_a_full_list_is_removed(tmp_path, full):
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.registry.apply_update({"version": 42, "full": full, "servers": [bench.row | {"id": "e2"}]})
@@ -242,7 +242,7 @@
     }
 
 
-def test_nothing_grows_where_endpoints_ids_and_keys_are_ever_new(tmp_path, monkeypatch):
+def test_memory_is_bounded_with_ever_new_endpoints_ids_and_keys(tmp_path, monkeypatch):
     # Memory must not grow with the number of endpoints and messages ever seen.
     monkeypatch.setattr(endpoint_registry, "DESTINATION_RETENTION_S", 0.0)
 
@@ -291,7 +291,7 @@
         ("removal", 1),
     ],
 )
-def test_the_decisions_believe_of_calls_and_connections_what_the_pool_holds(tmp_path, what, calls):
+def test_decision_module_and_pool_agree_on_calls_and_connections(tmp_path, what, calls):
     @with_bench(tmp_path)
     async def _(bench):
         pool, decisions = bench.node.endpoints, bench.node.dispatcher
@@ -333,7 +333,7 @@
             await asyncio.sleep(0.001)
 
 
-def test_an_endpoint_that_hangs_does_not_hold_up_the_others_of_its_destination(tmp_path):
+def test_hanging_endpoint_does_not_block_the_others_of_its_destination(tmp_path):
     # One hung call must not take all slots of its destination, even if other destinations hang as well.
     @with_bench(tmp_path, slots=4)
     async def _(bench):
@@ -350,7 +350,7 @@
         assert not any(call.over.is_set() for call in calls)  # these calls still hang
 
 
-def test_a_pace_that_one_refusal_cut_is_soon_no_hindrance(tmp_path):
+def test_rate_limit_recovers_soon_after_one_refusal(tmp_path):
     # A partner that was full only for a moment must not stay limited.
     @with_bench(tmp_path, slots=20)
     async def _(bench):
@@ -371,7 +371,7 @@
         (await bench.partner.next()).answer(200)
 
 
-def test_a_few_resets_in_a_row_are_no_outage_where_it_serves_again_at_once(tmp_path):
+def test_a_few_resets_in_a_row_are_no_outage(tmp_path):
     # The partner was never down, but after resets by the network it would stay limited for long.
     @with_bench(tmp_path)
     async def _(bench):
@@ -389,7 +389,7 @@
         assert not bench.node.dispatcher.endpoints["e1"].cold
 
 
-def test_what_an_endpoint_took_is_measured_over_the_time_it_was_seen(tmp_path):
+def test_rate_of_an_endpoint_is_measured_only_while_it_is_known(tmp_path):
     # A rate that counts the time before the start is too low, and a cold partner would get too few calls.
     @with_bench(tmp_path)
     async def _(bench):
@@ -400,14 +400,14 @@
         assert bench.journal.cold["e1"] > 1.0  # calls per second: ten in much less than ten seconds
 
 
-def test_another_number_of_dispatchers_is_told_to_all_who_divide_by_it(tmp_path):
+def test_resize_updates_all_users_of_the_number_of_dispatchers(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
-        node, told = bench.node, []
-        node.note = told.append
+        node, events = bench.node, []
+        node.note = events.append
         node.resize(node.settings.dispatchers)
-        assert told == [], "nothing has changed"
+        assert events == [], "nothing has changed"
         node.resize(7)
         assert node.settings.dispatchers == node.limits.dispatchers == 7
-        assert [type(event).__name__ for event in told] == ["Reconfigured"]
-        assert told[0].settings.dispatchers == 7 and told[0].settings.classes == node.settings.classes
+        assert [type(event).__name__ for event in events] == ["Reconfigured"]
+        assert events[0].settings.dispatchers == 7 and events[0].settings.classes == node.settings.classes
