--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -25,7 +25,7 @@
 SYN_SENT = "02"  # connection state in /proc/net/tcp
 
 
-class Unreached:
+class UnreachablePeer:
     """An address with a full accept queue: connections are not established until the test allows it."""
 
     def __init__(self):
@@ -33,21 +33,21 @@
         self.listener.setblocking(False)
         self.address = self.listener.getsockname()
         self.queued = []
-        while not self.knocks():  # until a connection stays pending
+        while not self.pending_connections():  # until a connection stays pending
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(self.address)
             self.queued.append(sock)
-        self.own = self.knocks()
+        self.own = self.pending_connections()
 
-    def knocks(self):
+    def pending_connections(self):
         """The number of pending connections."""
         remote = f"0100007F:{self.address[1]:04X}"
         rows = (line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:])
         return sum(1 for row in rows if row[2] == remote and row[3] == SYN_SENT)
 
-    async def wait_for_knock(self):
-        while self.knocks() == self.own:
+    async def wait_for_pending_connection(self):
+        while self.pending_connections() == self.own:
             await asyncio.sleep(0.01)
 
     def close(self):
@@ -59,37 +59,37 @@
     return run_with_program(program(folder), started=False)
 
 
-class Elsewhere(Program):
+class MovablePartner(Program):
     """With a partner whose address the test can change."""
 
     at = None
 
     def config(self):
-        told = super().config()
-        told["settings"]["policyLimits"]["connectTimeoutMs"] = 20_000.0  # longer than a shutdown takes
+        config = super().config()
+        config["settings"]["policyLimits"]["connectTimeoutMs"] = 20_000.0  # longer than a shutdown takes
         if self.at is not None:
-            told["known"]["servers"][0]["addr"] = "{}:{}".format(*self.at)
-        return told
+            config["known"]["servers"][0]["addr"] = "{}:{}".format(*self.at)
+        return config
 
 
 @pytest.mark.parametrize("end", [signal.SIGKILL, signal.SIGTERM])
-def test_an_unsafe_message_whose_connection_was_not_up_at_the_end_is_tried_by_the_next_process(tmp_path, end):
+def test_unsafe_message_not_yet_connected_at_the_end_is_sent_by_the_next_process(tmp_path, end):
     # If the attempt were recorded before the connection is up, the message would be failed without a call.
-    @with_program(tmp_path, Elsewhere)
+    @with_program(tmp_path, MovablePartner)
     async def _(program):
-        unreached = Unreached()
+        unreachable = UnreachablePeer()
         try:
-            program.at = unreached.address
+            program.at = unreachable.address
             await program.start()
             client = await program.client()
             assert await client.add(b"m1", "pay", 24000) == b"+OK\r\n"
-            await unreached.wait_for_knock()
+            await unreachable.wait_for_pending_connection()
             program.process.send_signal(end)
             await program.process.wait()
             (kept,) = program.journal().live.values()
             assert not kept.out and kept.notice is None
         finally:
-            unreached.close()
+            unreachable.close()
         program.at = program.partner.address
         await program.start()
         request = await program.partner.next()
@@ -97,29 +97,29 @@
         request.answer(200)
 
 
-PATIENT = f"""import rushhitch.discovery as discovery
+LONG_NOTICE_TIMEOUT = f"""import rushhitch.discovery as discovery
 discovery.NOTICE_S = {TEST_TIMEOUT_S}
 """
 
 
 @pytest.mark.parametrize("end", [signal.SIGKILL, signal.SIGTERM])
 @pytest.mark.parametrize("cls", ["note", "pay"])
-def test_all_that_a_restart_finds_untried_gets_a_call(tmp_path, monkeypatch, end, cls):
+def test_each_untried_message_gets_a_call_after_a_restart(tmp_path, monkeypatch, end, cls):
     # The limit of open messages is reached, and is lower after the restart. When the process ends, three
     # messages hold all slots of the partner and the others had no call (repeatable ones get further calls
     # before SIGTERM). Each notice arrives once, since the answer of a slow platform is awaited.
-    (tmp_path / "sitecustomize.py").write_text(PATIENT)
+    (tmp_path / "sitecustomize.py").write_text(LONG_NOTICE_TIMEOUT)
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path}:{ROOT}")
 
-    class Smaller(Program):
+    class LowerLimit(Program):
         most = 20
 
         def config(self):
-            told = super().config()
-            told["settings"]["policyLimits"]["mostHeld"] = self.most
-            return told
+            config = super().config()
+            config["settings"]["policyLimits"]["mostHeld"] = self.most
+            return config
 
-    @with_program(tmp_path, Smaller)
+    @with_program(tmp_path, LowerLimit)
     async def _(program):
         await program.start()
         client = await program.client()
@@ -145,8 +145,8 @@
             while True:
                 request = await program.platform.next()
                 if request.target == "/status":
-                    for told in map(json.loads, request.body.splitlines()):
-                        ends[told["ref"].encode(), told["result"]] += 1
+                    for notice in map(json.loads, request.body.splitlines()):
+                        ends[notice["ref"].encode(), notice["result"]] += 1
                     request.answer(204)
 
         tasks = [asyncio.create_task(answer()), asyncio.create_task(hear())]
@@ -161,11 +161,11 @@
         assert ends == ({(name, "dead"): 1 for name in tried} if cls == "pay" else {})
 
 
-def resumed(message, left_ms, cls=0, **told):
-    return MessageAccepted(message, cls, 1, left_ms, untried=True, **told)
+def resumed(message, left_ms, cls=0, **fields):
+    return MessageAccepted(message, cls, 1, left_ms, untried=True, **fields)
 
 
-def test_what_was_resumed_untried_is_sent_with_less_time_than_a_call_takes():
+def test_untried_resumed_message_is_sent_even_if_little_time_is_left():
     # A new process only estimates the duration of calls; that must not end a message without a call.
     harness = DispatcherHarness(Entry("e1", 1))
     usual = harness.dispatcher.expected_ms["notice"]
@@ -175,14 +175,14 @@
     assert harness.sent.keys() == {0, 1, 2, 3}
 
 
-def test_what_was_resumed_with_no_time_left_ends_at_once_and_is_not_sent():
+def test_resumed_message_past_its_deadline_ends_without_a_call():
     harness = DispatcherHarness(Entry("e1", 1))
     harness.since[1], harness.taken[1] = harness.now, resumed(1, 0.0)
     harness.feed(harness.taken[1])
     assert harness.answers[1] == "refuse" and not harness.sent.get(1)
 
 
-def test_a_full_house_that_was_resumed_is_not_shed_unseen():
+def test_resumed_messages_at_the_limit_are_not_shed_before_an_attempt():
     harness = DispatcherHarness(Entry("e1", 1), max_held=10)
     for message in range(10):
         harness.since[message], harness.taken[message] = harness.now, resumed(message, 6000.0)
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("left", [b"m0", b"m1"])
-def test_a_message_that_ends_while_the_connection_of_its_batch_comes_up_is_not_written(left):
+def test_message_that_ends_while_its_batch_connects_is_not_written(left):
     # A message that was withdrawn or refused while connecting must not run.
     async def work():
         caller = await Caller().start(batch=4)
@@ -219,7 +219,7 @@
     run(work())
 
 
-def test_what_the_disk_does_not_take_is_not_written_to_the_partner():
+def test_attempts_that_are_not_recorded_are_not_sent():
     async def work():
         caller = await Caller().start(batch=4)
 
@@ -240,20 +240,20 @@
     run(work())
 
 
-def test_a_message_waits_for_a_list_that_names_its_destination_and_the_list_is_asked_for_at_once(tmp_path):
+def test_message_without_endpoints_causes_an_immediate_request_for_the_list(tmp_path):
     # Many dispatchers spread their first request, this one by 4.4 s due to its seed; the message expires
     # earlier.
-    class Lost(Program):
+    class WithoutEndpoints(Program):
         lost = False
 
         def config(self):
-            told = super().config()
-            told["settings"]["balancers"], told["seed"] = 2000, "99"
+            config = super().config()
+            config["settings"]["balancers"], config["seed"] = 2000, "99"
             if self.lost:
-                told["known"]["servers"] = []
-            return told
+                config["known"]["servers"] = []
+            return config
 
-    @with_program(tmp_path, Lost)
+    @with_program(tmp_path, WithoutEndpoints)
     async def _(program):
         await program.start()
         client = await program.client()
@@ -273,7 +273,7 @@
         assert (await program.partner.next()).headers["x-correlation-id"] == "m1"
 
 
-def test_a_configuration_that_cannot_even_be_read_leaves_the_old_one_and_the_next_is_taken(tmp_path):
+def test_unreadable_configuration_keeps_the_old_one_until_the_next_sighup(tmp_path):
     # An error of an unexpected type must not end the handling of SIGHUP.
     @with_program(tmp_path)
     async def _(program):
@@ -290,7 +290,7 @@
         assert await client.ask(b"PING") == b"+PONG\r\n"
 
 
-FROZEN = """import os, sys, time
+BLOCK_AFTER_FREEZE = """import os, sys, time
 import rushhitch.core.state_transfer as transfer
 freeze = transfer.StateTransfer.freeze
 async def frozen(self):
@@ -304,10 +304,10 @@
 
 
 @pytest.mark.parametrize("batch", [1, 4])
-def test_an_answer_that_comes_in_the_instant_of_the_exit_counts(tmp_path, monkeypatch, batch):
+def test_answer_that_arrives_during_the_exit_counts(tmp_path, monkeypatch, batch):
     # The loop is blocked after its last poll until the answer is in the socket buffer. If it were not read,
     # unsafe messages that were delivered would be reported as failed.
-    (tmp_path / "sitecustomize.py").write_text(FROZEN)
+    (tmp_path / "sitecustomize.py").write_text(BLOCK_AFTER_FREEZE)
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path}:{ROOT}")
     monkeypatch.setenv("GO_ON", str(tmp_path / "go"))
 
@@ -331,9 +331,9 @@
 async def at_the_exit(folder, answer, batch=1):
     """Shut down a node with one call of unsafe messages in flight whose answer arrives after the last poll;
     returns for each message left in the journal whether it may have run."""
-    told = json.loads(json.dumps(TOLD)) | {"categories": [UNSAFE | WORTH]}
-    told["familyInfo"]["batchByKind"] = [batch]
-    settings = parse_settings(json.dumps(told).encode())
+    config = json.loads(json.dumps(TOLD)) | {"categories": [UNSAFE | WORTH]}
+    config["familyInfo"]["batchByKind"] = [batch]
+    settings = parse_settings(json.dumps(config).encode())
     node = Node(settings, Dispatcher(settings, 1), Journal(folder, 3e6), lambda *end: None)
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setblocking(False)
@@ -374,17 +374,17 @@
         (WHOLE % (500, 0), [True]),
     ],
 )
-def test_at_the_exit_an_answer_counts_for_no_more_than_it_proves(tmp_path, answer, left):
+def test_incomplete_answer_at_the_exit_counts_only_for_what_it_proves(tmp_path, answer, left):
     run(checked(tmp_path, answer, 1, left))
 
 
 @pytest.mark.parametrize(("missing", "left"), [(0, [True]), (1, [True, True])])
-def test_at_the_exit_half_an_answer_to_a_batch_counts_for_nothing(tmp_path, missing, left):
+def test_incomplete_batch_answer_at_the_exit_proves_nothing(tmp_path, missing, left):
     ends = b"m0 accepted\r\nm1 fault\r\n"
     run(checked(tmp_path, WHOLE % (200, len(ends) + missing) + ends, 2, left))
 
 
-def test_at_the_exit_an_answer_that_never_ends_is_not_waited_for(tmp_path, monkeypatch):
+def test_endless_answer_does_not_delay_the_exit(tmp_path, monkeypatch):
     monkeypatch.setattr(Connection, "has_no_input", lambda self: False)  # more data at each check
     run(checked(tmp_path, WHOLE % (200, 1), 1, []))
 
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -11,7 +11,7 @@
 from dispatcher_harness import settings
 from doubles import WORTH, Program, run
 from process_harness import CALL_S, Partner, SimulatedProcess, virtual
-from test_endings import Unreached
+from test_endings import UnreachablePeer
 from test_endpoints import with_caller
 
 from crowpier import Dispatcher
@@ -43,19 +43,19 @@
 SLACK_S = 0.05  # tolerance of time limits on real sockets
 
 
-class Harbour(Program):
+class ProgramWithWindow(Program):
     """With a class whose retries are deduplicated for one second, and a partner whose address can change."""
 
     at = None
     window_ms = WINDOW_S * 1000.0
 
     def config(self):
-        told = super().config()
-        told["settings"]["categories"] = [BERTH | {"windowMs": self.window_ms}]
-        told["settings"]["policyLimits"]["connectTimeoutMs"] = 20_000.0
+        config = super().config()
+        config["settings"]["categories"] = [BERTH | {"windowMs": self.window_ms}]
+        config["settings"]["policyLimits"]["connectTimeoutMs"] = 20_000.0
         if self.at is not None:
-            told["known"]["servers"][0]["addr"] = "{}:{}".format(*self.at)
-        return told
+            config["known"]["servers"][0]["addr"] = "{}:{}".format(*self.at)
+        return config
 
     async def take(self, client, *names):
         for name in names:
@@ -81,7 +81,7 @@
                 if answers.is_set():
                     request.answer(200)
 
-        async def told():
+        async def notified():
             while True:
                 request = await program.platform.next()
                 if request.target == "/status":
@@ -94,7 +94,7 @@
                 await asyncio.sleep(0.005)
                 self.lag_s = max(self.lag_s, loop.time() - since - 0.005)
 
-        await asyncio.gather(called(), told(), lag())
+        await asyncio.gather(called(), notified(), lag())
 
     async def first_calls(self, *names):
         while not self.calls.keys() >= set(names):
@@ -105,7 +105,7 @@
     """Submit messages `apart_s` apart, end the process while each has one call in flight, and restart it
     after `gap_s`; returns what was seen of them."""
     folder.mkdir()
-    program, seen, answers = await Harbour(folder).start_doubles(), Seen(), asyncio.Event()
+    program, seen, answers = await ProgramWithWindow(folder).start_doubles(), Seen(), asyncio.Event()
     program.window_ms = window_ms
     hearing = asyncio.create_task(seen.hear(program, answers))
     try:
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("end", [signal.SIGKILL, signal.SIGTERM], ids=["SIGKILL", "SIGTERM"])
-def test_over_a_restart_a_repeat_reaches_its_partner_in_its_window_or_not_at_all(tmp_path, end):
+def test_retry_after_a_restart_arrives_within_its_window_or_not_at_all(tmp_path, end):
     # Three restarts in parallel: after the longest gap all windows are over; after the shortest none is, even
     # if the start is slow; the one between may go either way. Shutdown after SIGTERM takes 3.3 s.
     windows_s = (15.0, 1.6 if end is signal.SIGKILL else 5.2, WINDOW_S)
@@ -158,15 +158,13 @@
     [(signal.SIGKILL, "asyncio"), (signal.SIGTERM, "asyncio"), (signal.SIGKILL, "uvloop")],
     ids=["SIGKILL", "SIGTERM", "SIGKILL, uvloop"],
 )
-def test_a_repeat_whose_connection_comes_up_after_the_window_of_the_process_before_is_not_sent(
-    tmp_path, monkeypatch, end, loop
-):
+def test_retry_after_a_restart_that_connects_after_its_window_is_not_sent(tmp_path, monkeypatch, end, loop):
     window_s = 3.2 if end is signal.SIGKILL else 6.8  # shutdown after SIGTERM takes 3.3 s
     (tmp_path / "own.toml").write_text(f'[process]\nloop = "{loop}"\n')
     monkeypatch.setenv("RUSHHITCH_TOML", str(tmp_path / "own.toml"))
 
     async def work():
-        program, unreached = await Harbour(tmp_path).start_doubles(), Unreached()
+        program, unreachable = await ProgramWithWindow(tmp_path).start_doubles(), UnreachablePeer()
         program.window_ms = window_s * 1000.0
         try:
             await program.start()
@@ -175,18 +173,18 @@
             since = time.monotonic()
             program.process.send_signal(end)
             await program.process.wait()
-            program.at = unreached.address
+            program.at = unreachable.address
             await program.start()
-            await unreached.wait_for_knock()
+            await unreachable.wait_for_pending_connection()
             assert time.monotonic() - since < window_s, "the start was too slow for a meaningful test"
             await asyncio.sleep(since + window_s - time.monotonic())
-            others, accepted = {sock.getsockname() for sock in unreached.queued}, []
-            for sock in unreached.queued:
+            others, accepted = {sock.getsockname() for sock in unreachable.queued}, []
+            for sock in unreachable.queued:
                 sock.close()
 
             async def accept():
                 while True:
-                    accepted.append((await asyncio.get_running_loop().sock_accept(unreached.listener))[0])
+                    accepted.append((await asyncio.get_running_loop().sock_accept(unreachable.listener))[0])
 
             accepting = asyncio.create_task(accept())  # the program connects when its SYN is retransmitted
             assert await program.notice() == {"ref": "m1", "result": "dead"}
@@ -200,7 +198,7 @@
             for sock in accepted:
                 sock.close()
         finally:
-            unreached.close()
+            unreachable.close()
             if program.process.returncode is None:
                 await program.kill()
 
@@ -213,14 +211,14 @@
 """
 
 
-def test_a_wall_clock_that_is_set_back_between_two_processes_lengthens_no_window(tmp_path, monkeypatch):
+def test_wall_clock_set_back_between_processes_extends_no_window(tmp_path, monkeypatch):
     # The wall clock of the second process is 2.4 s behind: by that clock alone a retry would be in time, even
     # if the start is slow.
     (tmp_path / "sitecustomize.py").write_text(STEP)
     monkeypatch.setenv("PYTHONPATH", str(tmp_path))
 
     async def work():
-        program = await Harbour(tmp_path).start_doubles()
+        program = await ProgramWithWindow(tmp_path).start_doubles()
         program.window_ms = 2500.0
         try:
             monkeypatch.setenv("STEP_S", "0")
@@ -245,7 +243,7 @@
 # In virtual time
 
 
-class Quiet(Partner):
+class SilentPartner(Partner):
     """Answers only in the second process; records when it was called, in virtual time."""
 
     def write(self, endpoint, attempts, going):
@@ -257,11 +255,11 @@
                     self.node.loop.call_later(CALL_S, self.end, endpoint, attempt, Outcome.OK)
 
 
-class Mooring(SimulatedProcess):
+class SteadyClockProcess(SimulatedProcess):
     """Stores its steady clock in the folder, as the service does; the first turn may be delayed by
     `late_s`."""
 
-    partner, classes = Quiet, [BERTH]
+    partner, classes = SilentPartner, [BERTH]
     boot, late_s = "one", 0.0
 
     def begin(self):
@@ -277,11 +275,11 @@
         node.turn = turn
 
 
-class Rebooted(Mooring):
+class RebootedProcess(SteadyClockProcess):
     boot = "two"
 
 
-class Late(Mooring):
+class SlowStartProcess(SteadyClockProcess):
     late_s = 0.25
 
 
@@ -293,9 +291,9 @@
 
     def work(outside):
         outside.calls, clock = {}, outside.time
-        for number, life in enumerate((Mooring, second), 1):
+        for number, process_class in enumerate((SteadyClockProcess, second), 1):
             files = CountingFiles(tmp_path, 1e6)
-            made = life(outside, files, number, disk=1e6)
+            made = process_class(outside, files, number, disk=1e6)
             if number == 1:
                 for name in (b"m0", b"m1", b"m2"):
                     made.offer(name, "berth")
@@ -321,23 +319,23 @@
 @pytest.mark.parametrize("within", [False, True], ids=["between the lives", "within the first"])
 @pytest.mark.parametrize("set_back_s", [0.0, 0.2, 0.8, 3600.0])
 @pytest.mark.parametrize(("gap_s", "repeats"), [(0.05, [1, 1, 1]), (0.3, [0, 1, 1]), (0.9, [0, 0, 0])])
-def test_a_wall_clock_that_is_set_back_makes_no_attempt_younger(tmp_path, gap_s, repeats, set_back_s, within):
-    assert kept_to_windows(tmp_path, Mooring, gap_s, set_back_s, within) == repeats
+def test_wall_clock_set_back_makes_no_attempt_younger(tmp_path, gap_s, repeats, set_back_s, within):
+    assert kept_to_windows(tmp_path, SteadyClockProcess, gap_s, set_back_s, within) == repeats
 
 
 @pytest.mark.parametrize("set_back_s", [3.0, 3600.0])
-def test_an_attempt_whose_age_no_clock_tells_is_past_its_window(tmp_path, set_back_s):
+def test_attempt_of_unknown_age_is_past_its_window(tmp_path, set_back_s):
     # After a reboot with a wall clock that is behind, an attempt appears to lie in the future.
-    assert kept_to_windows(tmp_path, Rebooted, 0.05, set_back_s) == [0, 0, 0]
+    assert kept_to_windows(tmp_path, RebootedProcess, 0.05, set_back_s) == [0, 0, 0]
 
 
-def test_a_window_goes_on_while_a_start_takes_its_time(tmp_path):
+def test_window_continues_during_a_slow_start(tmp_path):
     # The delay is between reading the ages from the journal and the turn that passes them to the module.
-    assert kept_to_windows(tmp_path, Late, 0.05) == [0, 1, 1]
+    assert kept_to_windows(tmp_path, SlowStartProcess, 0.05) == [0, 1, 1]
 
 
 @pytest.mark.parametrize("spoilt", [b"", b"x", b"00000000\n{}", None])
-def test_a_clock_that_cannot_be_read_or_kept_leaves_the_wall_clock(tmp_path, spoilt):
+def test_unreadable_clock_file_falls_back_to_the_wall_clock(tmp_path, spoilt):
     journal = Journal(tmp_path, 3e6)
     if spoilt is None:
         (tmp_path / "clock").write_bytes(sealed(b'{"boot":"one"}'))
@@ -353,7 +351,7 @@
 
 
 @pytest.mark.parametrize("compacted", [False, True])
-def test_the_journal_tells_of_the_first_attempt_that_may_have_run(tmp_path, compacted):
+def test_journal_keeps_the_first_attempt_that_may_have_run(tmp_path, compacted):
     journal = Journal(tmp_path, 3e6)
     journal.record_accepted(JournalEntry(1, b"m1", "berth", 7, 4e9, b"x"))
     for number, may_have_run in enumerate((False, True, True)):
@@ -369,9 +367,9 @@
 
 
 @pytest.mark.parametrize("sent_ago_ms", [0.0, 700.0])
-def test_a_call_that_an_earlier_process_still_has_out_begins_the_window_when_it_was_sent(sent_ago_ms):
-    told = settings(classes=(MessageClass("berth", 3000, 20000, effect=Effect.KEYED, window_ms=1000),))
-    dispatcher = Dispatcher(told, seed=1)
+def test_window_of_an_inherited_call_starts_when_it_was_sent(sent_ago_ms):
+    changed = settings(classes=(MessageClass("berth", 3000, 20000, effect=Effect.KEYED, window_ms=1000),))
+    dispatcher = Dispatcher(changed, seed=1)
     lent = (AttemptInProgress(0, "e1", 1, sent_ago_ms),)
     dispatcher.handle(5000.0, [EndpointListReceived(ListKind.FULL, 1, (Entry("e1", 1),))])
     dispatcher.handle(5000.0, [MessageAccepted(1, 0, 1, 20000.0, attempts=1, out=lent)])
@@ -387,7 +385,7 @@
 # The last byte
 
 
-def test_a_repeat_whose_partner_is_slow_to_take_it_is_not_written_whole_after_its_window():
+def test_retry_to_a_slow_reader_is_not_completed_after_its_window():
     # The partner starts to read only after the window, long after the decision to send.
     @with_caller()
     async def _(caller):
@@ -414,7 +412,7 @@
 
 
 @pytest.mark.parametrize("left_s", [-0.01, 0.0, 0.01])
-def test_the_last_byte_of_a_repeat_stays_back_where_its_way_takes_it_past_its_window(monkeypatch, left_s):
+def test_last_byte_of_a_retry_is_not_sent_if_it_would_arrive_after_its_window(monkeypatch, left_s):
     look_s, start_by = 0.02, 0.0
     looked = Connection.confirm_alive
 
