--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -25,21 +25,21 @@
 from rushhitch.journal.commit import Committer
 from rushhitch.journal.files import Files
 
-FEW = 96  # descriptor limit of the process
-CROWD = 200  # idle clients, more than there are descriptors
-AGAIN_S = 0.5  # time until a closed client reconnects
-MOST_S = 2.0  # a client with a message is served by then, however many connect
+DESCRIPTOR_LIMIT = 96  # descriptor limit of the process
+IDLE_CLIENTS = 200  # idle clients, more than there are descriptors
+RECONNECT_S = 0.5  # time until a closed client reconnects
+MAX_WAIT_S = 2.0  # a client with a message is served by then, however many connect
 
 
-class Crowd:
+class IdleClients:
     """Clients that connect and stay idle, every second one after a PING, and reconnect when closed. They use
     the addresses in turn."""
 
     def __init__(self, *addresses):
-        turns = zip(range(CROWD), itertools.cycle(addresses))
+        turns = zip(range(IDLE_CLIENTS), itertools.cycle(addresses))
         self.tasks = [asyncio.ensure_future(self.stay(address, number % 2 == 0)) for number, address in turns]
         self.came = self.closed = 0
-        self.brim = asyncio.Event()  # set once a client was closed: the limit is reached
+        self.limit_reached = asyncio.Event()  # set once a client was closed: the limit is reached
 
     async def stay(self, address, asks):
         while True:
@@ -51,11 +51,11 @@
                         Client(reader, writer).send(b"PING")
                     await reader.read()
                     self.closed += 1
-                    if self.came > CROWD // 2:
-                        self.brim.set()
+                    if self.came > IDLE_CLIENTS // 2:
+                        self.limit_reached.set()
                 finally:
                     writer.close()
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RECONNECT_S)
 
     async def go(self):
         for task in self.tasks:
@@ -63,7 +63,7 @@
         await asyncio.wait(self.tasks)
 
 
-class Descriptors:
+class DescriptorMonitor:
     """Samples the number of descriptors of the process."""
 
     def __init__(self, program):
@@ -79,7 +79,7 @@
 
 async def served(program, name, cls="note", body=b"hello", dest=7):
     """Submit a message with a new client, retrying if it is rejected, as the protocol allows."""
-    async with asyncio.timeout(MOST_S):
+    async with asyncio.timeout(MAX_WAIT_S):
         while True:
             with contextlib.suppress(OSError):
                 client = await program.client()
@@ -135,10 +135,14 @@
 
 @pytest.mark.parametrize(
     "kind, descriptors, sockets",
-    [(Program, FEW, 1024), (Program, None, FEW), (AllListeners, FEW, 1024)],
+    [
+        (Program, DESCRIPTOR_LIMIT, 1024),
+        (Program, None, DESCRIPTOR_LIMIT),
+        (AllListeners, DESCRIPTOR_LIMIT, 1024),
+    ],
     ids=["the system has few", "the platform allows few", "with all listeners"],
 )
-def test_with_idle_clients_to_the_brim_over_a_restart_without_discovery_all_else_goes_on(
+def test_program_works_with_the_limit_of_idle_clients_across_a_restart_without_discovery(
     tmp_path, monkeypatch, kind, descriptors, sockets
 ):
     if kind is AllListeners:
@@ -150,10 +154,10 @@
         await program.start()
         program.listen = f"127.0.0.1:{program.port}"
         others = getattr(program, "others", [])
-        crowd, look = Crowd(("127.0.0.1", program.port), *others), Descriptors(program)
+        idle_clients, look = IdleClients(("127.0.0.1", program.port), *others), DescriptorMonitor(program)
         try:
             watch = await watched(program.platform)
-            await crowd.brim.wait()
+            await idle_clients.limit_reached.wait()
             address = program.platform.address
             program.platform.stop()
             watch.reset()
@@ -163,9 +167,9 @@
             program.process.send_signal(signal.SIGTERM)
             await program.log_line(" messages stay in the journal")
             assert await program.process.wait() == 0
-            crowd.brim.clear()
+            idle_clients.limit_reached.clear()
             await program.start()
-            await crowd.brim.wait()
+            await idle_clients.limit_reached.wait()
             await program.log_line("watch ended")
             program.platform = await Peer(address[0]).start(address[1])
             watch = await watched(program.platform)
@@ -184,10 +188,10 @@
             assert await program.notice() == {"ref": "held", "result": "dead"}
             program.process.send_signal(signal.SIGHUP)
             await program.log_line("SIGHUP: discovery is at")
-            assert look.most <= FEW
+            assert look.most <= DESCRIPTOR_LIMIT
             assert not [line for line in program.log if "Too many open files" in line]
         finally:
-            await crowd.go()
+            await idle_clients.go()
             look.task.cancel()
             if program.process.returncode is None:
                 await program.kill()
@@ -218,7 +222,7 @@
             os.close(free)
 
 
-def test_without_a_descriptor_an_idle_connection_gives_way_and_else_the_endpoint_is_not_blamed():
+def test_without_descriptors_an_idle_connection_is_evicted_and_endpoints_are_not_blamed():
     lower = os.dup(0)  # closed once connected: the system assigns the lowest free descriptor
 
     @with_caller()
@@ -240,7 +244,7 @@
         assert caller.endpoints.connections == 1
 
 
-def test_without_a_descriptor_accepting_rests_and_a_client_gives_way(monkeypatch):
+def test_without_descriptors_accepting_pauses_and_a_client_is_evicted(monkeypatch):
     # Retrying a failed accept in a loop used a whole CPU core.
     @with_server()
     async def _(server, acceptor):
@@ -261,7 +265,7 @@
         server.stop_listening()
 
 
-def test_those_in_the_queue_at_the_end_are_taken_some_at_a_time():
+def test_accept_queue_is_drained_in_portions_at_shutdown():
     @with_server(most=32)
     async def _(server, acceptor):
         server.pause_listening()
@@ -285,18 +289,18 @@
             client.writer.close()
 
 
-def test_who_takes_no_answers_and_gives_way_gives_its_descriptor_back():
+def test_evicted_client_with_unread_answers_releases_its_descriptor():
     # An evicted connection with unsent output must not stay open, uncounted, until its client disconnects.
     @with_server(most=8)
     async def _(server, acceptor):
         server.listeners[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
-        crowd = []
+        idle_clients = []
         for _ in range(8):
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             sock.connect(server.address)
             sock.sendall(b"*1\r\n$4\r\nPING\r\n" * 2_000)  # the answers fill the socket buffers
-            crowd.append(sock)
+            idle_clients.append(sock)
         while len(server.clients) < 8 or any(c.resting or not c.asked for c in server.clients):
             await asyncio.sleep(0.01)
         assert all(client.transport.get_write_buffer_size() for client in server.clients)
@@ -306,13 +310,13 @@
             clients.append(await connect(server))
             assert await clients[-1].ask(b"PING") == b"+PONG\r\n"
         assert held_here() <= before + 8, "evicted connections are still open"
-        for sock in crowd:
+        for sock in idle_clients:
             sock.close()
         for client in clients:
             client.writer.close()
 
 
-def test_a_sync_without_a_descriptor_is_tried_again_and_told_then(tmp_path):
+def test_sync_without_a_descriptor_is_retried(tmp_path):
     # The committer must survive the failure; otherwise no client would be answered any more.
     class Few(Files):
         left = 0
@@ -325,13 +329,13 @@
     async def work():
         files = Few(tmp_path)
         journal = Journal(tmp_path, 1e6, Sync.BATCH, files)
-        committer, told = Committer(journal), asyncio.Queue()
+        committer, results = Committer(journal), asyncio.Queue()
         journal.record_accepted(kept(1))
-        committer.commit(lambda: told.put_nowait("done"), lambda: told.put_nowait("failed"))
+        committer.commit(lambda: results.put_nowait("done"), lambda: results.put_nowait("failed"))
         await asyncio.sleep(0.02)
-        assert told.empty()
+        assert results.empty()
         files.left = 1
-        assert await told.get() == "done"
+        assert await results.get() == "done"
         await committer.wait_until_idle()
         committer.close()
         journal.close()
