--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -23,7 +23,7 @@
 FIRST, SECOND = Entry("e1", 1), Entry("e2", 1)
 
 
-def test_nothing_new_goes_to_an_endpoint_that_was_taken_out_and_what_is_out_may_end():
+def test_detached_endpoint_gets_no_new_calls_and_calls_in_flight_end():
     harness = DispatcherHarness(FIRST, SECOND)
     harness.arrive(1)
     (out,) = harness.where(1)
@@ -35,7 +35,7 @@
         assert out not in harness.where(message)
 
 
-def test_a_retry_that_is_due_goes_elsewhere():
+def test_due_retry_avoids_the_detached_endpoint():
     harness = DispatcherHarness(FIRST, SECOND)
     harness.arrive(1)
     (out,) = harness.where(1)
@@ -45,7 +45,7 @@
     assert harness.where(1)[1:] and out not in harness.where(1)[1:]
 
 
-def test_where_all_routes_are_out_messages_wait_and_go_once_one_is_back():
+def test_messages_wait_while_all_endpoints_are_detached():
     harness = DispatcherHarness(FIRST, SECOND)
     harness.feed(Detached("e1"), Detached("e2"))
     harness.arrive(1)
@@ -56,7 +56,7 @@
     assert harness.where(1) == ["e2"]
 
 
-def test_where_all_routes_stay_out_a_message_is_refused_in_time():
+def test_message_is_refused_in_time_if_all_endpoints_stay_detached():
     harness = DispatcherHarness(FIRST)
     harness.feed(Detached("e1"))
     harness.arrive(1)
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("state", [State.READY, State.DRAINING])
-def test_the_ban_holds_whatever_the_list_says(state):
+def test_ban_persists_across_list_updates(state):
     harness = DispatcherHarness(FIRST, SECOND)
     harness.feed(Detached("e1"))
     harness.list(Entry("e1", 1, state=State.GONE), kind=ListKind.DELTA)
@@ -77,7 +77,7 @@
         assert harness.where(message) == ["e2"]
 
 
-def test_an_endpoint_that_was_given_back_is_cold_and_nothing_speaks_against_it():
+def test_attached_endpoint_is_cold_but_healthy():
     harness = DispatcherHarness(FIRST)
     for message in range(20):
         harness.arrive(message)
@@ -93,7 +93,7 @@
     assert all(harness.answers.get(message) == "served" for message in range(100, 105))
 
 
-def test_one_that_is_given_back_while_it_is_not_listed_is_cold_when_it_comes():
+def test_endpoint_attached_while_unlisted_is_cold_when_listed():
     harness = DispatcherHarness(FIRST, SECOND)
     harness.feed(Detached("e1"))
     harness.list(Entry("e1", 1, state=State.GONE), kind=ListKind.DELTA)
@@ -104,7 +104,7 @@
     assert len(harness.out) == 1
 
 
-def test_twice_out_needs_once_in():
+def test_repeated_detach_is_undone_by_one_attach():
     harness = DispatcherHarness(FIRST)
     harness.feed(Detached("e1"), Detached("e1"), Attached("e1"))
     harness.arrive(1)
@@ -112,7 +112,7 @@
     assert harness.where(1) == ["e1"]
 
 
-def test_a_batch_that_is_being_gathered_takes_no_rider_to_what_was_taken_out():
+def test_pending_batch_to_a_detached_endpoint_gets_no_further_message():
     harness = DispatcherHarness(Entry("e1", 1, kind=2))
     harness.arrive_together(1, 2, 3)
     assert len(harness.out) == 3
@@ -181,7 +181,7 @@
 TestBans = BanMachine.TestCase
 
 
-def test_a_call_whose_connection_is_being_opened_is_not_sent_once_the_answer_was_yes(tmp_path):
+def test_detach_stops_a_call_that_is_still_connecting(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
         started = []
@@ -207,7 +207,7 @@
         request.answer(200)
 
 
-def test_a_send_that_was_decided_in_the_same_turn_does_not_go(tmp_path):
+def test_detach_stops_a_send_of_the_same_turn(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer()
@@ -223,7 +223,7 @@
             (await bench.partner.next()).answer(200)
 
 
-def test_ids_that_nobody_has_are_refused_and_one_that_has_just_left_is_not(tmp_path):
+def test_unknown_ids_are_refused_but_recently_removed_ones_are_accepted(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
         for operation in (OperatorCommands(bench.node).detach, OperatorCommands(bench.node).attach):
@@ -239,7 +239,7 @@
         assert DetachedEndpoints(bench.journal).ids == set()
 
 
-def test_a_ban_that_cannot_be_kept_is_refused_and_changes_nothing(tmp_path, monkeypatch):
+def test_ban_that_cannot_be_stored_is_refused_and_changes_nothing(tmp_path, monkeypatch):
     @with_bench(tmp_path)
     async def _(bench):
         def full(fd, data):
@@ -254,7 +254,7 @@
         (await bench.partner.next()).answer(200)
 
 
-def test_a_ban_that_was_refused_is_not_there_after_a_restart(tmp_path, monkeypatch):
+def test_refused_ban_does_not_exist_after_a_restart(tmp_path, monkeypatch):
     # The file was replaced but its folder could not be synced; the operator received NAK.
     def fail():
         raise OSError(errno.EIO, "an error of the disk")
@@ -278,7 +278,7 @@
         again.close()
 
 
-class Stopping(Files):
+class StoppingFiles(Files):
     """Simulates a crash before the n-th file operation."""
 
     left = 10**9
@@ -316,7 +316,7 @@
     for stop in range(1, 50):
         folder = tmp_path / str(stop)
         folder.mkdir()
-        files = Stopping(folder)
+        files = StoppingFiles(folder)
         journal = Journal(folder, 3e6, files=files)
         bans = DetachedEndpoints(journal)
         bans.add("e1")
@@ -341,7 +341,7 @@
     assert finished and len(seen) == 2
 
 
-def test_a_damaged_file_of_bans_does_not_keep_the_dispatcher_from_starting(tmp_path, caplog):
+def test_damaged_ban_file_does_not_prevent_the_start(tmp_path, caplog):
     journal = Journal(tmp_path, 3e6)
     DetachedEndpoints(journal).add("e1")
     (tmp_path / DETACHED_FILE).write_bytes(b'00000000\n{"ids":["e1"]}')
@@ -350,7 +350,7 @@
     journal.close()
 
 
-def test_a_send_that_waited_for_the_disk_while_the_ban_came_opens_no_connection(tmp_path):
+def test_detach_stops_a_send_that_waited_for_the_commit(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
         results, endpoints = [], bench.node.endpoints
