--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -93,7 +93,7 @@
         return ids
 
 
-def test_after_a_kill_behind_an_answer_only_what_was_answered_goes_out(tmp_path, monkeypatch):
+def test_after_a_crash_behind_an_answer_only_answered_messages_are_sent(tmp_path, monkeypatch):
     # With one journal record for the whole tick, the next process would send messages of clients that were
     # never answered and have resubmitted them by then.
     for nth in (1, 2, 9, 17):
@@ -113,11 +113,11 @@
             without_shim(folder)
             await program.start()
             sent = set(await sent_within(program, QUIET_S))
-            told = {notice["ref"].encode() for notice in notices_so_far(program)}
-            assert sent <= heard and heard <= sent | told  # told: calls in flight at the crash
+            notified = {notice["ref"].encode() for notice in notices_so_far(program)}
+            assert sent <= heard and heard <= sent | notified  # notified: calls in flight at the crash
 
 
-def test_a_client_that_ends_its_sending_after_its_request_gets_an_answer(tmp_path):
+def test_half_closed_client_gets_its_answer(tmp_path):
     @run_with_program(Program(tmp_path))
     async def _(program):
         clients = [await program.client() for _ in range(CLIENTS)]
@@ -130,7 +130,7 @@
         assert set(await sent_within(program, QUIET_S)) == taken
 
 
-def test_a_request_that_comes_whole_in_the_last_moment_before_the_exit_gets_an_answer(tmp_path):
+def test_request_completed_right_before_the_exit_gets_an_answer(tmp_path):
     # Each client sends half a request before idle connections are closed, and the rest at a different time
     # around the exit. A reset tells the client that its request was not read; a regular close does not.
     @run_with_program(Program(tmp_path))
@@ -157,7 +157,7 @@
         assert not [number for number, answer in enumerate(answers) if answer == b""]
 
 
-def test_requests_that_come_together_on_a_connection_that_finishes_all_get_their_answers(tmp_path):
+def test_pipelined_requests_on_a_closing_connection_all_get_answers(tmp_path):
     @run_with_program(Program(tmp_path))
     async def _(program):
         client, other = await program.client(), await program.client()
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("ended", [0, 1])
-def test_a_message_that_ends_while_its_last_byte_is_held_back_is_not_in_the_call(monkeypatch, ended):
+def test_message_that_ends_while_the_last_byte_is_delayed_is_not_sent(monkeypatch, ended):
     # The body, partly written, contains it: the call is dropped, and the other message has not run.
     monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", 0.1)
 
@@ -200,7 +200,7 @@
     run(work())
 
 
-def test_no_attempt_is_recorded_while_its_last_byte_is_held_back(tmp_path, monkeypatch):
+def test_attempt_is_not_recorded_while_the_last_byte_is_delayed(tmp_path, monkeypatch):
     # After a crash in that time, the next process would take the message for one that may have run, and fail
     # an unsafe one without a call.
     monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", 0.5)
@@ -219,7 +219,7 @@
         assert Journal(tmp_path / "state", 3e6, writable=False).live[1].out
 
 
-def test_a_message_that_is_cancelled_while_its_last_byte_is_held_back_is_not_in_the_call(monkeypatch):
+def test_message_cancelled_while_the_last_byte_is_delayed_is_not_sent(monkeypatch):
     monkeypatch.setattr(connection, "MIN_LAST_BYTE_DELAY_S", 0.1)
 
     async def work():
@@ -236,7 +236,7 @@
     run(work())
 
 
-def test_a_message_that_ends_while_a_call_looks_for_another_connection_is_not_in_it():
+def test_message_that_ends_while_its_call_reconnects_is_not_sent():
     # The idle connection breaks during the call, and connecting again takes a while.
     async def work():
         caller = await Caller().start(batch=4)
@@ -271,7 +271,7 @@
     run(work())
 
 
-def test_an_answer_that_cannot_be_written_any_more_takes_the_acceptance_back(tmp_path):
+def test_acceptance_is_revoked_if_its_answer_cannot_be_written(tmp_path):
     # The connection closed while the answer was written, and the message stayed accepted.
     @with_bench(tmp_path)
     async def _(bench):
@@ -283,7 +283,7 @@
         assert [kept.id for kept in bench.journal.live.values()] == [b"m2"]
 
 
-def test_an_offer_whose_answer_would_have_to_wait_is_refused(tmp_path):
+def test_submission_is_refused_if_its_client_is_not_reachable(tmp_path):
     @with_bench(tmp_path)
     async def _(bench):
         bench.node.offer(OFFER, bench.answers.put_nowait, reachable=lambda: False)
@@ -291,7 +291,7 @@
         assert not bench.journal.live and bench.partner.requests.empty()
 
 
-def test_a_record_of_acceptance_that_the_disk_does_not_take_never_comes_to_be(tmp_path, monkeypatch):
+def test_acceptance_that_cannot_be_recorded_is_never_recorded_later(tmp_path, monkeypatch):
     # The retried write must not store it later: the client was told that nothing was done.
     @with_bench(tmp_path)
     async def _(bench):
@@ -315,7 +315,7 @@
         assert bench.partner.requests.empty()
 
 
-def test_an_end_that_the_disk_does_not_take_is_told_as_the_time_is_up_and_not_before(tmp_path, monkeypatch):
+def test_end_that_cannot_be_recorded_is_reported_only_at_the_deadline(tmp_path, monkeypatch):
     # Before the deadline, a crash could make the next process send a message reported as ended; later it
     # cannot.
     @with_bench(tmp_path)
@@ -335,7 +335,7 @@
         assert 0.6 <= took <= 0.7 + 0.25, took
 
 
-def test_a_final_answer_ends_a_message_whose_earlier_call_was_out_at_a_kill(tmp_path):
+def test_final_answer_ends_a_message_with_a_call_in_flight_at_a_crash(tmp_path):
     # Nobody receives the outcome of the earlier call, so waiting for it would last until the deadline.
     @with_bench(tmp_path)
     async def _(bench):
@@ -356,7 +356,7 @@
             assert await bench.ends.get() == (1, b"m1", "dead", 0.0)
 
 
-def test_a_refusal_that_the_disk_does_not_take_is_told_as_the_next_process_would(tmp_path, monkeypatch):
+def test_refusal_that_cannot_be_recorded_is_reported_as_the_next_process_would(tmp_path, monkeypatch):
     # After a crash the attempt has no outcome and may have run; the message would get a second, different
     # end.
     @with_bench(tmp_path)
@@ -372,7 +372,7 @@
         assert await bench.ends.get() == (1, b"m1", "dead", 0.0)
 
 
-def test_a_wait_that_a_call_of_the_process_before_was_told_binds_though_its_message_is_over(tmp_path):
+def test_retry_after_of_an_inherited_call_applies_though_its_message_has_ended(tmp_path):
     # The message ended before the answer of its call, but the retry-after of that answer must be obeyed.
     @with_bench(tmp_path)
     async def _(bench):
@@ -383,7 +383,7 @@
 
 
 @pytest.mark.parametrize("called", [False, True])
-def test_a_request_that_its_client_sends_once_more_behind_a_loss_is_no_new_message(tmp_path, called):
+def test_resubmission_after_a_lost_connection_is_no_new_message(tmp_path, called):
     # The client saw a reset and no answer. The resubmission must not be sent if its id was reported as
     # bounced.
     @with_bench(tmp_path)
