--- a/tests/process_harness.py
+++ b/tests/process_harness.py
@@ -40,7 +40,7 @@
 HEARD_S = 0.03  # from a notice to its confirmation by the platform
 
 
-class Time:
+class VirtualLoop:
     """Virtual loop with timers and both clocks. The wall clock may be stepped between processes."""
 
     def __init__(self) -> None:
@@ -51,13 +51,13 @@
     def time(self) -> float:
         return self.now
 
-    def call_later(self, delay, act, *words):
-        timer = Timer(act, words)
+    def call_later(self, delay, act, *args):
+        timer = Timer(act, args)
         heapq.heappush(self.queue, (self.now + delay, next(self.order), timer))
         return timer
 
-    def call_at(self, at, act, *words):
-        return self.call_later(at - self.now, act, *words)
+    def call_at(self, at, act, *args):
+        return self.call_later(at - self.now, act, *args)
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -69,21 +69,21 @@
 
 
 class Timer:
-    def __init__(self, act, words) -> None:
-        self.act, self.words = act, words
+    def __init__(self, act, args) -> None:
+        self.act, self.args = act, args
 
     def cancel(self) -> None:
         self.act = None
 
     def run(self) -> None:
         if self.act is not None:
-            self.act(*self.words)
+            self.act(*self.args)
 
 
-class Wall:
+class VirtualTimeModule:
     """Replaces the module `time` in the node."""
 
-    def __init__(self, time: Time) -> None:
+    def __init__(self, time: VirtualLoop) -> None:
         self.virtual = time
 
     def time(self) -> float:
@@ -94,8 +94,8 @@
     """Replaces the node's endpoint pool: each attempt ends after `CALL_S`, with an outcome that depends on
     the id."""
 
-    def __init__(self, outside: Outside, life: int) -> None:
-        self.outside, self.life, self.node = outside, life, None
+    def __init__(self, outside: Outside, process_number: int) -> None:
+        self.outside, self.process_number, self.node = outside, process_number, None
 
     def set_endpoint(self, endpoint, entry):
         pass
@@ -106,13 +106,13 @@
         pass
 
     def send(self, endpoint, attempts):
-        self.node.begin(endpoint, attempts, lambda going: self.write(endpoint, attempts, going))
+        self.node.begin(endpoint, attempts, lambda allowed: self.write(endpoint, attempts, allowed))
 
-    def write(self, endpoint, attempts, going):
+    def write(self, endpoint, attempts, allowed):
         for attempt in attempts:
-            if attempt not in going:
+            if attempt not in allowed:
                 self.node.attempt_ended(Result(attempt, endpoint, Outcome.NOT_EXECUTED, 0.0))
-        for attempt in going:
+        for attempt in allowed:
             outcome = self.outside.sent(attempt.id)
             self.node.loop.call_later(CALL_S, self.end, endpoint, attempt, outcome)
 
@@ -141,7 +141,7 @@
     """What clients, the partner and the platform saw over all processes; `broken` lists violated rules."""
 
     def __init__(self) -> None:
-        self.time = Time()
+        self.time = VirtualLoop()
         self.taken: dict[bytes, str] = {}  # class by id, of messages answered with +OK
         self.unheard: dict[bytes, str] = {}  # likewise, of messages sent before any +OK
         self.offered: dict[bytes, str] = {}
@@ -155,13 +155,13 @@
 
     def sent(self, name: bytes) -> Outcome:
         if name in self.told:
-            self.broken.append(f"{name!r} was sent after its end was told as {self.told[name]}")
+            self.broken.append(f"{name!r} was sent after its end was reported as {self.told[name]}")
         if self.offered[name] == "pay" and name in self.may_have_run | self.out:
-            self.broken.append(f"unsafe {name!r} was sent again")
+            self.broken.append(f"unsafe {name!r} was retried")
         if name not in self.taken:
             self.unheard[name] = self.offered[name]
         if name not in self.taken and name in self.answers:
-            self.broken.append(f"{name!r} was sent though it was not taken on")
+            self.broken.append(f"{name!r} was sent though it was not accepted")
         self.out.add(name)
         nth, self.sends[name] = self.sends[name], self.sends[name] + 1
         return FIRST.get(int(name[1:]) % 12, Outcome.OK) if nth == 0 else Outcome.OK
@@ -175,7 +175,7 @@
 
     def notice(self, name: bytes, result: str) -> None:
         if self.told.setdefault(name, result) != result:
-            self.broken.append(f"{name!r} was told as {self.told[name]} and then as {result}")
+            self.broken.append(f"{name!r} was reported as {self.told[name]} and then as {result}")
         if result == "bounced" and self.offered[name] == "pay" and name in self.may_have_run:
             self.broken.append(f"unsafe {name!r} was refused, but it may have run")
 
@@ -196,9 +196,9 @@
     def check(self) -> None:
         for name in self.taken:
             if name not in self.delivered and name not in self.told:
-                self.broken.append(f"{name!r} was taken on and never ended")
+                self.broken.append(f"{name!r} was accepted and never ended")
         if self.unheard:
-            self.broken.append(f"sent with no client told: {sorted(self.unheard)}")
+            self.broken.append(f"sent without an acceptance: {sorted(self.unheard)}")
         assert not self.broken, "\n".join(self.broken)
 
 
@@ -216,10 +216,10 @@
         settings = json.loads(json.dumps(TOLD))
         settings["categories"] = self.classes
         settings["familyInfo"]["batchByKind"] = [1]
-        told = parse_settings(json.dumps(settings).encode())
+        parsed = parse_settings(json.dumps(settings).encode())
         self.journal = Journal(files.folder, disk, sync, files, outside.time.time, boot=boot)
         partner = self.partner(outside, number)
-        self.node = Node(told, Dispatcher(told, 1), self.journal, self.notify, codecs=self.codecs)
+        self.node = Node(parsed, Dispatcher(parsed, 1), self.journal, self.notify, codecs=self.codecs)
         self.node.loop, self.node.endpoints, partner.node = outside.time, partner, self.node
         row = {"addr": "127.0.0.1:1", "zone": "a", "kind": "firms", "cell": 7, "state": "SERVING"}
         rows = [row | {"id": name, "weight": 1.0, "started_ms": 0} for name in ("e1", "e2", "e3")]
@@ -254,7 +254,7 @@
     outside = outside or Outside()
 
     async def run() -> None:
-        module, node_module.time = node_module.time, Wall(outside.time)
+        module, node_module.time = node_module.time, VirtualTimeModule(outside.time)
         try:
             work(outside)
         finally:
@@ -263,13 +263,13 @@
     asyncio.run(run())
 
 
-def load(life: SimulatedProcess, first: int, count: int, size: int = 300, remember: bool = False) -> None:
+def load(process: SimulatedProcess, first: int, count: int, size: int = 300, remember: bool = False) -> None:
     """Submit messages of both classes, some at the same time, over about a second."""
     for number in range(first, first + count):
-        life.offer(b"m%d" % number, ("note", "pay")[number % 2], bytes(size), remember)
+        process.offer(b"m%d" % number, ("note", "pay")[number % 2], bytes(size), remember)
         if number % 3 == 0:
-            life.outside.time.run(0.12)
+            process.outside.time.run(0.12)
 
 
 def settle(outside: Outside) -> None:
-    outside.time.run(40.0)  # past each deadline
+    outside.time.run(40.0)  # past all deadlines
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -246,12 +246,12 @@
 class SilentPartner(Partner):
     """Answers only in the second process; records when it was called, in virtual time."""
 
-    def write(self, endpoint, attempts, going):
+    def write(self, endpoint, attempts, allowed):
         for attempt in attempts:
-            if attempt in going:
+            if attempt in allowed:
                 self.outside.calls.setdefault(attempt.id, []).append(self.outside.time.now)
                 self.outside.out.add(attempt.id)
-                if self.life > 1:
+                if self.process_number > 1:
                     self.node.loop.call_later(CALL_S, self.end, endpoint, attempt, Outcome.OK)
 
 
@@ -316,7 +316,7 @@
     return repeats
 
 
-@pytest.mark.parametrize("within", [False, True], ids=["between the lives", "within the first"])
+@pytest.mark.parametrize("within", [False, True], ids=["between the processes", "within the first"])
 @pytest.mark.parametrize("set_back_s", [0.0, 0.2, 0.8, 3600.0])
 @pytest.mark.parametrize(("gap_s", "repeats"), [(0.05, [1, 1, 1]), (0.3, [0, 1, 1]), (0.9, [0, 0, 0])])
 def test_wall_clock_set_back_makes_no_attempt_younger(tmp_path, gap_s, repeats, set_back_s, within):
