--- a/rushhitch/core/messages.py
+++ b/rushhitch/core/messages.py
@@ -60,8 +60,10 @@
     resumed: bool = False  # accepted by an earlier process
     out: set[int] = field(default_factory=set)
     handed: bool = False  # its partner answered 202; the acknowledgement is pending
-    pending: Result | None = None  # of a call that the module sees in flight until the acknowledgement
-    waiting: bool = False  # announce it to the module again once its other attempts have ended
+    deferred_result: Result | None = (
+        None  # of a call that the module sees in flight until the acknowledgement
+    )
+    announce_later: bool = False  # announce it to the module again once its other attempts have ended
     sink: bytes = b""  # the event's attributes, if its end is to be sent to a sink
     verdict: Verdict | None = None  # of an acknowledgement that arrived before its call ended
     watchdog: asyncio.TimerHandle | None = None
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -435,8 +435,8 @@
         if not message.over:
             log.info("message %d was not acknowledged in time", message.number)
             self.finish(message, "dead", 0.0)
-            if message.pending is not None:
-                self.attempt_ended(replace(message.pending, later=False))
+            if message.deferred_result is not None:
+                self.attempt_ended(replace(message.deferred_result, later=False))
             self.commit()
 
     def acknowledge(self, acknowledgement: Acknowledgement, answer: ReplyCallback) -> None:
@@ -455,8 +455,8 @@
             return
         if found is Acknowledged.DELIVER:
             self.close(message, Effect.DELIVER)
-            if message.pending is not None:
-                self.attempt_ended(replace(message.pending, later=False))
+            if message.deferred_result is not None:
+                self.attempt_ended(replace(message.deferred_result, later=False))
             elif not message.handed:
                 self.note(api.Withdrawn(message.number))
         elif found in (Acknowledged.RETRY, Acknowledged.AWAIT):
@@ -469,16 +469,16 @@
                     self.journal.record_outcome(message.number, attempt, may_have_run=True)
             if message.handed:
                 self.return_to_module(message)
-                if message.pending is not None:
+                if message.deferred_result is not None:
                     ran = OUTCOME_BY_VERDICT[acknowledgement.verdict]
-                    self.attempt_ended(replace(message.pending, outcome=ran, over=False, later=False))
+                    self.attempt_ended(replace(message.deferred_result, outcome=ran, over=False, later=False))
                 elif message.stage is Stage.ABANDONED:
                     if not message.awaits_outcome:
                         self.end_abandoned(message)
                 elif not message.out:
                     self.announce(message)
                 else:
-                    message.waiting = True
+                    message.announce_later = True
             else:
                 message.verdict = acknowledgement.verdict
         self.commit(lambda: answer(ACKNOWLEDGED), lambda: answer(Reply("refused", BUSY_MS)))
@@ -493,8 +493,11 @@
         if message.verdict is not None:  # an acknowledgement arrived first and takes precedence
             result = replace(result, outcome=OUTCOME_BY_VERDICT[message.verdict], over=False, later=False)
             message.verdict = None
-        if message.pending is not None and message.pending.attempt.number == result.attempt.number:
-            message.pending = None
+        if (
+            message.deferred_result is not None
+            and message.deferred_result.attempt.number == result.attempt.number
+        ):
+            message.deferred_result = None
         if result.over and self.loop.time() >= result.first_due - CLIENT_CLOCK_MARGIN_S:
             # The client's clock started earlier, so for it the message may have ended before this answer,
             # which then proves nothing for any message of the call. The message is reported as failed, which
@@ -506,7 +509,7 @@
                 self.journal.record_awaiting_ack(message.number, result.attempt.number)
             self.await_acknowledgement(message)
             if self.is_ordered(kept):
-                message.pending = result  # in flight for the module: the next of its key must wait
+                message.deferred_result = result  # in flight for the module: the next of its key must wait
                 self.commit()
                 return
         message.out.discard(result.attempt.number)
@@ -533,14 +536,16 @@
                 result.endpoint,
                 result.outcome,
                 result.took_ms,
-                message.over or message.waiting or (message.handed and message.pending is None),
+                message.over
+                or message.announce_later
+                or (message.handed and message.deferred_result is None),
                 result.wait_ms,
                 result.idled_ms,
                 result.kept,
             )
         )
-        if message.waiting and not (message.out or message.over):
-            message.waiting = False
+        if message.announce_later and not (message.out or message.over):
+            message.announce_later = False
             self.announce(message)
         self.release(message)
 
@@ -709,7 +714,7 @@
                 self.finish(self.messages[number], "bounced", retry_after_ms)
             case api.Cancel(number, attempt):
                 held = self.messages.get(number)
-                if held is not None and (result := held.pending) and result.attempt.number == attempt:
+                if held is not None and (result := held.deferred_result) and result.attempt.number == attempt:
                     if not held.over:
                         self.return_to_module(held)
                     cancelled = replace(result, outcome=Outcome.CANCELLED, over=False, later=False)
--- a/rushhitch/core/operator_commands.py
+++ b/rushhitch/core/operator_commands.py
@@ -21,8 +21,9 @@
         self.node = node
 
     def detach(self, endpoint: str) -> None:
-        """Ban the endpoint. Raises `CommandRefused` and changes nothing if the ban cannot be stored. Afterwards
-        no call can start there: the pool blocks it at once, and the decision module hears of it in this turn."""
+        """Ban the endpoint. Raises `CommandRefused` and changes nothing if the ban cannot be stored.
+        Afterwards no call can start there: the pool blocks the endpoint at once, and the decision module
+        gets the event in this turn."""
         self.change_bans(endpoint, lambda bans: bans.add(endpoint))
         self.node.endpoints.ban(endpoint)
         self.node.note(api.Detached(endpoint))
--- a/rushhitch/core/state_transfer.py
+++ b/rushhitch/core/state_transfer.py
@@ -89,16 +89,16 @@
     ) -> None:
         """Handle the result of an inherited attempt, as reported by the earlier process."""
         node = self.node
-        loan, held = node.inherited.pop((message, attempt), None), node.messages.get(message)
+        loan, owned = node.inherited.pop((message, attempt), None), node.messages.get(message)
         if loan is None:
             return
-        if wait_ms and (place := node.endpoints.entries.get(loan.endpoint)) is not None:
-            self.adopt_waits([(place.lane, node.loop.time() + wait_ms / 1000.0)])
-        if held is None:
+        if wait_ms and (entry := node.endpoints.entries.get(loan.endpoint)) is not None:
+            self.adopt_waits([(entry.lane, node.loop.time() + wait_ms / 1000.0)])
+        if owned is None:
             return
-        kept = held.kept
-        words = (kept.id, kept.body, held.due, held.due, kept.cls, kept.attributes, kept.deadline)
-        result = Result(Attempt(message, attempt, *words), loan.endpoint, outcome, took_ms, wait_ms, over)
+        kept = owned.kept
+        fields = (kept.id, kept.body, owned.due, owned.due, kept.cls, kept.attributes, kept.deadline)
+        result = Result(Attempt(message, attempt, *fields), loan.endpoint, outcome, took_ms, wait_ms, over)
         node.attempt_ended(replace(result, first_due=loan.first_due, later=later, final=final))
 
     def fail_inherited_attempts(self) -> None:
