--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -74,26 +74,26 @@
         assert again.headers["idempotency-key"] == "f59ace57a939f76f"
 
 
-def node_of(tmp_path, heard):
-    """A node whose events for the decision module are recorded in `heard`."""
+def node_of(tmp_path, events):
+    """A node whose events for the decision module are recorded in `events`."""
     config = json.loads(json.dumps(TOLD)) | {"categories": [BERTH], "tenants": TENANTS}
     settings = parse_settings(json.dumps(config).encode())
     node = Node(settings, Dispatcher(settings, 1), Journal(tmp_path, 3e6), lambda *end: None)
     node.registry.destinations[7] = 0.0
-    node.note = heard.append
+    node.note = events.append
     return node
 
 
 def test_a_message_counts_against_its_own_tenant(tmp_path):
     # A flood of one tenant must not use up the allowance of another.
     async def work():
-        heard = []
-        node = node_of(tmp_path, heard)
+        events = []
+        node = node_of(tmp_path, events)
         for number, tenant in enumerate(("consorzio", "comune", "")):
             node.offer(
                 Submission(b"m%d" % number, "berth", 7, 1000.0, b"", tenant=tenant), lambda reply: None
             )
-        assert [event.tenant for event in heard if isinstance(event, MessageAccepted)] == [0, 1, 2]
+        assert [event.tenant for event in events if isinstance(event, MessageAccepted)] == [0, 1, 2]
         with pytest.raises(BadRequest, match="unknown tenant 'duomo'"):
             node.offer(Submission(b"m9", "berth", 7, 1000.0, b"", tenant="duomo"), lambda reply: None)
         node.journal.close()
@@ -107,10 +107,10 @@
         journal.record_accepted(JournalEntry(1, b"m1", "berth", 7, 4e9, b"x", tenant="comune"))
         journal.flush()
         journal.close()
-        heard = []
-        node = node_of(tmp_path, heard)
+        events = []
+        node = node_of(tmp_path, events)
         resume(node)
-        assert [event.tenant for event in heard if isinstance(event, MessageAccepted)] == [1]
+        assert [event.tenant for event in events if isinstance(event, MessageAccepted)] == [1]
         node.journal.close()
 
     run(work())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -187,7 +187,7 @@
 def test_invalid_row_is_skipped_and_a_deleted_one_needs_only_its_id(tmp_path, caplog):
     @with_bench(tmp_path)
     async def _(bench):
-        rows = [bench.row | {"id": "e2", "kind": "unheard"}, bench.row | {"id": "e3", "addr": "nowhere"}]
+        rows = [bench.row | {"id": "e2", "kind": "unknown"}, bench.row | {"id": "e3", "addr": "nowhere"}]
         bench.node.registry.apply_update(
             {"version": 42, "servers": [*rows, {"id": "e1", "state": "DELETED"}]}
         )
@@ -199,12 +199,12 @@
 @pytest.mark.parametrize(
     ("spoilt", "state"),
     [
-        ({"kind": "unheard"}, State.READY),
+        ({"kind": "unknown"}, State.READY),
         ({"addr": "nowhere"}, State.READY),
         ({"cell": None}, State.READY),
         ({"state": "ASLEEP"}, State.READY),
-        ({"zone": "unheard", "state": "DRAINING"}, State.DRAINING),
-        ({"kind": "unheard", "state": "DELETED"}, State.GONE),
+        ({"zone": "unknown", "state": "DRAINING"}, State.DRAINING),
+        ({"kind": "unknown", "state": "DELETED"}, State.GONE),
     ],
 )
 def test_known_endpoint_with_an_invalid_row_is_not_removed(tmp_path, spoilt, state):
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -108,13 +108,13 @@
             await all_at_once(program, clients)
             answers = [await answer_of(client) for client in clients]
             await program.process.wait()
-            heard = {b"m%d" % number for number, answer in enumerate(answers) if answer == b"+OK\r\n"}
-            assert len(heard) == nth
+            accepted = {b"m%d" % number for number, answer in enumerate(answers) if answer == b"+OK\r\n"}
+            assert len(accepted) == nth
             without_shim(folder)
             await program.start()
             sent = set(await sent_within(program, QUIET_S))
             notified = {notice["ref"].encode() for notice in notices_so_far(program)}
-            assert sent <= heard and heard <= sent | notified  # notified: calls in flight at the crash
+            assert sent <= accepted and accepted <= sent | notified  # notified: in flight at the crash
 
 
 def test_half_closed_client_gets_its_answer(tmp_path):
