--- a/rushhitch/core/endpoint_registry.py
+++ b/rushhitch/core/endpoint_registry.py
@@ -57,23 +57,23 @@
         self.entries: dict[str, api.Entry] = {}
         self.destinations: dict[int, float] = {}  # with the loop time when each last had an endpoint
         self.servers: dict[str, dict[str, Any]] = {}  # listed endpoints in the format of discovery
-        self.recently_removed: dict[
-            str, float
-        ] = {}  # endpoints no longer listed, with the loop time of removal
+        self.recently_removed: dict[str, float] = {}  # loop time of removal, by endpoint
         self.gate: Gate | None = None  # set if partners must agree before they are sent anything
         self.rows: dict[str, dict[str, Any]] = {}  # listed rows of the endpoints that the gate covers
 
-    def apply_update(self, news: dict[str, Any], cached: bool = False) -> None:
+    def apply_update(self, update: dict[str, Any], cached: bool = False) -> None:
         """Apply a full list or a delta in the format of discovery. Invalid entries are skipped; an endpoint
         that is already known stays known. `cached` marks the list kept from an earlier process."""
-        full = bool(news.get("full"))
+        full = bool(update.get("full"))
         kind = api.ListKind.CACHED if cached else api.ListKind.FULL if full else api.ListKind.DELTA
         entries = []
-        for row in news.get("servers", ()):
+        for row in update.get("servers", ()):
             try:
                 entries.append(self.entry(row))
             except (KeyError, TypeError, ValueError, AttributeError) as error:
-                log.warning("list: an entry is left out: %s: %s: %r", type(error).__name__, error, row)
+                log.warning(
+                    "endpoint list: invalid entry skipped: %s: %s: %r", type(error).__name__, error, row
+                )
                 entries += self.entry_of_invalid_row(row)
         gone = {entry.endpoint for entry in entries if entry.state is State.GONE}
         if kind is not api.ListKind.DELTA:
@@ -97,7 +97,7 @@
         self.destinations |= dict.fromkeys((entry.destination for entry in self.entries.values()), now)
         for destination in [d for d, at in self.destinations.items() if now - at > DESTINATION_RETENTION_S]:
             del self.destinations[destination]
-        self.note(api.EndpointListReceived(kind, int(news.get("version", 0)), tuple(entries)))
+        self.note(api.EndpointListReceived(kind, int(update.get("version", 0)), tuple(entries)))
 
     def entry(self, row: dict[str, Any]) -> api.Entry:
         state, known = STATE_BY_NAME[row["state"]], self.entries.get(row["id"])
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -193,7 +193,7 @@
         )
         assert not bench.node.registry.entries and not bench.node.endpoints.entries
 
-    assert caplog.text.count("an entry is left out") == 2
+    assert caplog.text.count("invalid entry skipped") == 2
 
 
 @pytest.mark.parametrize(
