--- a/rushhitch/acceptor.py
+++ b/rushhitch/acceptor.py
@@ -41,9 +41,8 @@
 
 
 ACCEPTED, DELIVERED, FAILED = Reply("taken"), Reply("delivered"), Reply("failed")
-ReplyCallback = Callable[
-    [Reply], object
-]  # returns False if "taken" was not written to the socket in full in this step
+# Returns False if "taken" was not written to the socket in full in this step.
+ReplyCallback = Callable[[Reply], object]
 ReachabilityCheck = Callable[[], bool]  # whether a reply given now is written to the socket in the same step
 ClientCheck = Callable[[], None]  # calls `Acceptor.abandon` synchronously if the client has disconnected
 
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -638,9 +638,7 @@
             return False
         self.lifecycle.advance(message, Effect.ANSWER)
         message.answer = None
-        if not send_acceptance(
-            answer
-        ):  # the connection broke during the answer: the client cannot have received it
+        if not send_acceptance(answer):  # the connection broke: the client cannot have received it
             self.close_unanswered(message)
             self.commit()
             return True
--- a/rushhitch/endpoints.py
+++ b/rushhitch/endpoints.py
@@ -385,10 +385,7 @@
         except NotSent as error:
             self.held_back += 1
             log.info("a call was held back", extra={"endpoint": call.endpoint, "reason": str(error)})
-            broken, call.aborted = (
-                Outcome.NOT_EXECUTED,
-                True,
-            )  # it is partly written: the connection cannot be reused
+            broken, call.aborted = Outcome.NOT_EXECUTED, True  # partly written: no reuse of the connection
         except h11.ProtocolError as error:
             log.debug("invalid answer from %s: %r", call.endpoint, error)
             broken = Outcome.ERROR
@@ -478,9 +475,8 @@
         have not run and are sent in another call."""
         if call.aborted or self.is_blocked(call.endpoint, connection):
             raise NotSent("the endpoint is not available")
-        if time.monotonic() + connection.last_byte_delay_s > start_by(
-            attempts
-        ):  # uvloop caches the loop time
+        # Not the loop time, which uvloop caches.
+        if time.monotonic() + connection.last_byte_delay_s > start_by(attempts):
             raise NotSent("the start deadline has passed")
         for attempt in attempts:
             if (attempt.message, attempt.number) not in call.open or not self.may_send(attempt):
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -211,9 +211,7 @@
     @with_bench(tmp_path)
     async def _(bench):
         bench.offer()
-        OperatorCommands(bench.node).detach(
-            "e1"
-        )  # before the turn that would send it: last event for the module
+        OperatorCommands(bench.node).detach("e1")  # before the turn that would send it
         assert await bench.answers.get() == ACCEPTED
         await asyncio.sleep(0.1)
         assert bench.partner.requests.empty() and bench.partner.connections == 0
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -162,15 +162,11 @@
     async def _(program):
         client, other = await program.client(), await program.client()
         assert await client.ask(b"PING") == b"+PONG\r\n"
-        assert (
-            await other.add(b"m1", left_ms=6000) == b"+OK\r\n"
-        )  # its call is unanswered: the process waits for it
+        assert await other.add(b"m1", left_ms=6000) == b"+OK\r\n"  # unanswered call: the process waits
         started = asyncio.get_running_loop().time()
         program.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(started + 1.8 - asyncio.get_running_loop().time())
-        client.writer.write(
-            b"*1\r\n$4\r\nPI"
-        )  # in the middle of a request when idle connections are closed, at 2 s
+        client.writer.write(b"*1\r\n$4\r\nPI")  # incomplete when idle connections are closed, at 2 s
         await asyncio.sleep(started + 2.3 - asyncio.get_running_loop().time())
         client.writer.write(b"NG\r\n" + b"*1\r\n$4\r\nPING\r\n" * 2)
         assert [await answer_of(client) for _ in range(3)] == [b"+PONG\r\n"] * 3
