--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""What is still owed when a process, a connection or a call ends: the crossing is forced on real sockets."""
+"""Races at the end of a process, a connection or a call, forced on real sockets: nothing owed is lost."""
 
 import asyncio
 import json
@@ -22,32 +22,32 @@
 from rushhitch.core.state_transfer import StateTransfer
 from rushhitch.journal import Journal
 
-SYN_SENT = "02"  # of a connection in /proc/net/tcp
+SYN_SENT = "02"  # connection state in /proc/net/tcp
 
 
-class Unreached:
-    """An address at which connections do not come up until the test lets them: its queue is full."""
+class UnreachablePeer:
+    """An address with a full accept queue: connections are not established until the test allows it."""
 
     def __init__(self):
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=0)
         self.listener.setblocking(False)
         self.address = self.listener.getsockname()
         self.queued = []
-        while not self.knocks():  # until one does not come up: the queue is full
+        while not self.pending_connections():  # until a connection stays pending
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(self.address)
             self.queued.append(sock)
-        self.own = self.knocks()
+        self.own = self.pending_connections()
 
-    def knocks(self):
-        """How many wait to come up."""
+    def pending_connections(self):
+        """The number of pending connections."""
         remote = f"0100007F:{self.address[1]:04X}"
         rows = (line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:])
         return sum(1 for row in rows if row[2] == remote and row[3] == SYN_SENT)
 
-    async def wait_for_knock(self):
-        while self.knocks() == self.own:
+    async def wait_for_pending_connection(self):
+        while self.pending_connections() == self.own:
             await asyncio.sleep(0.01)
 
     def close(self):
@@ -59,37 +59,37 @@
     return run_with_program(program(folder), started=False)
 
 
-class Elsewhere(Program):
-    """With its partner at an address that can be moved."""
+class MovablePartner(Program):
+    """With a partner whose address the test can change."""
 
     at = None
 
     def config(self):
-        told = super().config()
-        told["settings"]["policyLimits"]["connectTimeoutMs"] = 20_000.0  # longer than leaving takes
+        config = super().config()
+        config["settings"]["policyLimits"]["connectTimeoutMs"] = 20_000.0  # longer than a shutdown takes
         if self.at is not None:
-            told["known"]["servers"][0]["addr"] = "{}:{}".format(*self.at)
-        return told
+            config["known"]["servers"][0]["addr"] = "{}:{}".format(*self.at)
+        return config
 
 
 @pytest.mark.parametrize("end", [signal.SIGKILL, signal.SIGTERM])
-def test_an_unsafe_message_whose_connection_was_not_up_at_the_end_is_tried_by_the_next_process(tmp_path, end):
-    # Guards against a record of an attempt before anything can have left: the message would be failed unsent.
-    @with_program(tmp_path, Elsewhere)
+def test_unsafe_message_not_yet_connected_at_the_end_is_sent_by_the_next_process(tmp_path, end):
+    # If the attempt were recorded before the connection is up, the message would be failed without a call.
+    @with_program(tmp_path, MovablePartner)
     async def _(program):
-        unreached = Unreached()
+        unreachable = UnreachablePeer()
         try:
-            program.at = unreached.address
+            program.at = unreachable.address
             await program.start()
             client = await program.client()
             assert await client.add(b"m1", "pay", 24000) == b"+OK\r\n"
-            await unreached.wait_for_knock()
+            await unreachable.wait_for_pending_connection()
             program.process.send_signal(end)
             await program.process.wait()
             (kept,) = program.journal().live.values()
             assert not kept.out and kept.notice is None
         finally:
-            unreached.close()
+            unreachable.close()
         program.at = program.partner.address
         await program.start()
         request = await program.partner.next()
@@ -97,36 +97,36 @@
         request.answer(200)
 
 
-PATIENT = f"""import rushhitch.discovery as discovery
+LONG_NOTICE_TIMEOUT = f"""import rushhitch.discovery as discovery
 discovery.NOTICE_S = {TEST_TIMEOUT_S}
 """
 
 
 @pytest.mark.parametrize("end", [signal.SIGKILL, signal.SIGTERM])
 @pytest.mark.parametrize("cls", ["note", "pay"])
-def test_all_that_a_restart_finds_untried_gets_a_call(tmp_path, monkeypatch, end, cls):
-    # A full house, which is smaller after the restart: three hold all slots that one partner may have when
-    # the process ends, the others have had no call. (What may be repeated has further ones before SIGTERM.)
-    # Each notice comes once, as a busy platform's answer is waited for.
-    (tmp_path / "sitecustomize.py").write_text(PATIENT)
+def test_each_untried_message_gets_a_call_after_a_restart(tmp_path, monkeypatch, end, cls):
+    # The limit of open messages is reached, and is lower after the restart. When the process ends, three
+    # messages hold all slots of the partner and the others had no call (repeatable ones get further calls
+    # before SIGTERM). Each notice arrives once, since the answer of a slow platform is awaited.
+    (tmp_path / "sitecustomize.py").write_text(LONG_NOTICE_TIMEOUT)
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path}:{ROOT}")
 
-    class Smaller(Program):
+    class LowerLimit(Program):
         most = 20
 
         def config(self):
-            told = super().config()
-            told["settings"]["policyLimits"]["mostHeld"] = self.most
-            return told
+            config = super().config()
+            config["settings"]["policyLimits"]["mostHeld"] = self.most
+            return config
 
-    @with_program(tmp_path, Smaller)
+    @with_program(tmp_path, LowerLimit)
     async def _(program):
         await program.start()
         client = await program.client()
         names = [b"m%d" % number for number in range(18)]
         for name in names:
             assert await client.add(name, cls) == b"+OK\r\n"
-        out = [await program.partner.next() for _ in range(3)]  # three quarters of four slots, one partner
+        out = [await program.partner.next() for _ in range(3)]  # one partner may use three of four slots
         tried = {request.headers["x-correlation-id"].encode() for request in out}
         await program.answers_noted()
         program.process.send_signal(end)
@@ -145,8 +145,8 @@
             while True:
                 request = await program.platform.next()
                 if request.target == "/status":
-                    for told in map(json.loads, request.body.splitlines()):
-                        ends[told["ref"].encode(), told["result"]] += 1
+                    for notice in map(json.loads, request.body.splitlines()):
+                        ends[notice["ref"].encode(), notice["result"]] += 1
                     request.answer(204)
 
         tasks = [asyncio.create_task(answer()), asyncio.create_task(hear())]
@@ -156,17 +156,17 @@
         for task in tasks:
             task.cancel()
         untried = set(names) - tried
-        assert untried <= calls.keys(), f"given up with no call: {sorted(untried - calls.keys())}"
+        assert untried <= calls.keys(), f"ended without a call: {sorted(untried - calls.keys())}"
         assert cls == "note" or all(count == 1 for count in calls.values())
         assert ends == ({(name, "dead"): 1 for name in tried} if cls == "pay" else {})
 
 
-def resumed(message, left_ms, cls=0, **told):
-    return MessageAccepted(message, cls, 1, left_ms, untried=True, **told)
+def resumed(message, left_ms, cls=0, **fields):
+    return MessageAccepted(message, cls, 1, left_ms, untried=True, **fields)
 
 
-def test_what_was_resumed_untried_is_sent_with_less_time_than_a_call_takes():
-    # Guards against a new process's guess of how long calls take, by which messages are given up unsent.
+def test_untried_resumed_message_is_sent_even_if_little_time_is_left():
+    # A new process only estimates the duration of calls; that must not end a message without a call.
     harness = DispatcherHarness(Entry("e1", 1))
     usual = harness.dispatcher.expected_ms["notice"]
     for message, left in enumerate((1.0, usual / 4, usual / 2, usual * 2)):
@@ -175,14 +175,14 @@
     assert harness.sent.keys() == {0, 1, 2, 3}
 
 
-def test_what_was_resumed_with_no_time_left_ends_at_once_and_is_not_sent():
+def test_resumed_message_past_its_deadline_ends_without_a_call():
     harness = DispatcherHarness(Entry("e1", 1))
     harness.since[1], harness.taken[1] = harness.now, resumed(1, 0.0)
     harness.feed(harness.taken[1])
     assert harness.answers[1] == "refuse" and not harness.sent.get(1)
 
 
-def test_a_full_house_that_was_resumed_is_not_shed_unseen():
+def test_resumed_messages_at_the_limit_are_not_shed_before_an_attempt():
     harness = DispatcherHarness(Entry("e1", 1), max_held=10)
     for message in range(10):
         harness.since[message], harness.taken[message] = harness.now, resumed(message, 6000.0)
@@ -193,8 +193,8 @@
 
 
 @pytest.mark.parametrize("left", [b"m0", b"m1"])
-def test_a_message_that_ends_while_the_connection_of_its_batch_comes_up_is_not_written(left):
-    # Guards against a message that its client took back, or that was told as refused, and runs all the same.
+def test_message_that_ends_while_its_batch_connects_is_not_written(left):
+    # A message that was withdrawn or refused while connecting must not run.
     async def work():
         caller = await Caller().start(batch=4)
         go_on, connect = asyncio.Event(), caller.endpoints.connect
@@ -219,7 +219,7 @@
     run(work())
 
 
-def test_what_the_disk_does_not_take_is_not_written_to_the_partner():
+def test_attempts_that_are_not_recorded_are_not_sent():
     async def work():
         caller = await Caller().start(batch=4)
 
@@ -227,7 +227,7 @@
             caller.endpoints.begin,
             lambda endpoint, attempts, go: go(attempts[:1]),
         )
-        caller.send(0, 1)  # in one call: its bytes hold both
+        caller.send(0, 1)  # one call, whose bytes contain both
         for _ in range(2):
             assert await caller.result() == (Outcome.NOT_EXECUTED, False, 0.0)
         caller.endpoints.begin = begin
@@ -240,19 +240,20 @@
     run(work())
 
 
-def test_a_message_waits_for_a_list_that_names_its_destination_and_the_list_is_asked_for_at_once(tmp_path):
-    # Many dispatchers spread their first ask, this one by its seed over 4.4 s; the message has not so long.
-    class Lost(Program):
+def test_message_without_endpoints_causes_an_immediate_request_for_the_list(tmp_path):
+    # Many dispatchers spread their first request, this one by 4.4 s due to its seed; the message expires
+    # earlier.
+    class WithoutEndpoints(Program):
         lost = False
 
         def config(self):
-            told = super().config()
-            told["settings"]["balancers"], told["seed"] = 2000, "99"
+            config = super().config()
+            config["settings"]["balancers"], config["seed"] = 2000, "99"
             if self.lost:
-                told["known"]["servers"] = []
-            return told
+                config["known"]["servers"] = []
+            return config
 
-    @with_program(tmp_path, Lost)
+    @with_program(tmp_path, WithoutEndpoints)
     async def _(program):
         await program.start()
         client = await program.client()
@@ -272,8 +273,8 @@
         assert (await program.partner.next()).headers["x-correlation-id"] == "m1"
 
 
-def test_a_configuration_that_cannot_even_be_read_leaves_the_old_one_and_the_next_is_taken(tmp_path):
-    # Guards against an error of another kind than was thought of, after which no SIGHUP is heard any more.
+def test_unreadable_configuration_keeps_the_old_one_until_the_next_sighup(tmp_path):
+    # An error of an unexpected type must not end the handling of SIGHUP.
     @with_program(tmp_path)
     async def _(program):
         await program.start()
@@ -289,7 +290,7 @@
         assert await client.ask(b"PING") == b"+PONG\r\n"
 
 
-FROZEN = """import os, sys, time
+BLOCK_AFTER_FREEZE = """import os, sys, time
 import rushhitch.core.state_transfer as transfer
 freeze = transfer.StateTransfer.freeze
 async def frozen(self):
@@ -303,10 +304,10 @@
 
 
 @pytest.mark.parametrize("batch", [1, 4])
-def test_an_answer_that_comes_in_the_instant_of_the_exit_counts(tmp_path, monkeypatch, batch):
-    # The loop stands still from its last poll on, until the system has the answer: unsafe messages that were
-    # delivered would be told as failed.
-    (tmp_path / "sitecustomize.py").write_text(FROZEN)
+def test_answer_that_arrives_during_the_exit_counts(tmp_path, monkeypatch, batch):
+    # The loop is blocked after its last poll until the answer is in the socket buffer. If it were not read,
+    # unsafe messages that were delivered would be reported as failed.
+    (tmp_path / "sitecustomize.py").write_text(BLOCK_AFTER_FREEZE)
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path}:{ROOT}")
     monkeypatch.setenv("GO_ON", str(tmp_path / "go"))
 
@@ -328,11 +329,11 @@
 
 
 async def at_the_exit(folder, answer, batch=1):
-    """A node with one call out, of unsafe messages, and a partner whose answer comes after the last poll;
-    what its journal tells then."""
-    told = json.loads(json.dumps(TOLD)) | {"categories": [UNSAFE | WORTH]}
-    told["familyInfo"]["batchByKind"] = [batch]
-    settings = parse_settings(json.dumps(told).encode())
+    """Shut down a node with one call of unsafe messages in flight whose answer arrives after the last poll;
+    returns for each message left in the journal whether it may have run."""
+    config = json.loads(json.dumps(TOLD)) | {"categories": [UNSAFE | WORTH]}
+    config["familyInfo"]["batchByKind"] = [batch]
+    settings = parse_settings(json.dumps(config).encode())
     node = Node(settings, Dispatcher(settings, 1), Journal(folder, 3e6), lambda *end: None)
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setblocking(False)
@@ -347,7 +348,7 @@
         await asyncio.sleep(0.005)
     transfer = StateTransfer(node)
     await transfer.freeze()
-    partner.sendall(answer)  # the loop has not polled since
+    partner.sendall(answer)  # the loop has not polled yet
     started = loop.time()
     await transfer.end_calls()
     assert loop.time() - started < 1.0 and not node.endpoints.calls
@@ -365,7 +366,7 @@
     [
         (b"", [True]),
         (WHOLE % (200, 0), []),
-        (b"HTTP/1.1 200 OK\r\n", []),  # its first line is whole, and proves the delivery
+        (b"HTTP/1.1 200 OK\r\n", []),  # the complete status line proves the delivery
         (b"HTTP/1.1 200 OK", [True]),
         (WHOLE % (503, 0), [False]),
         (WHOLE[:-2] % (503, 0), [True]),
@@ -373,18 +374,18 @@
         (WHOLE % (500, 0), [True]),
     ],
 )
-def test_at_the_exit_an_answer_counts_for_no_more_than_it_proves(tmp_path, answer, left):
+def test_incomplete_answer_at_the_exit_counts_only_for_what_it_proves(tmp_path, answer, left):
     run(checked(tmp_path, answer, 1, left))
 
 
 @pytest.mark.parametrize(("missing", "left"), [(0, [True]), (1, [True, True])])
-def test_at_the_exit_half_an_answer_to_a_batch_counts_for_nothing(tmp_path, missing, left):
+def test_incomplete_batch_answer_at_the_exit_proves_nothing(tmp_path, missing, left):
     ends = b"m0 accepted\r\nm1 fault\r\n"
     run(checked(tmp_path, WHOLE % (200, len(ends) + missing) + ends, 2, left))
 
 
-def test_at_the_exit_an_answer_that_never_ends_is_not_waited_for(tmp_path, monkeypatch):
-    monkeypatch.setattr(Connection, "has_no_input", lambda self: False)  # more has come at each look
+def test_endless_answer_does_not_delay_the_exit(tmp_path, monkeypatch):
+    monkeypatch.setattr(Connection, "has_no_input", lambda self: False)  # more data at each check
     run(checked(tmp_path, WHOLE % (200, 1), 1, []))
 
 
