--- a/rushhitch/journal/commit.py
+++ b/rushhitch/journal/commit.py
@@ -60,7 +60,7 @@
                 log.error("the journal's sync waits: %s", error)
                 await asyncio.sleep(RETRY_S)
                 continue
-            told, self.waiting = self.waiting, []
+            results, self.waiting = self.waiting, []
             broken = False
             if group is not None:
                 try:
@@ -68,14 +68,14 @@
                     group.done()
                 except OSError as error:
                     log.error("the journal cannot be synced: %s", error)
-                    self.journal.distrust()
+                    self.journal.rewrite_live_entries()
                     broken = True
-            for done, failed in told:
+            for done, failed in results:
                 try:
                     (failed if broken else done)()
                 except Exception:
                     log.exception("not carried out after a commit")
-            self.journal.tend()
+            self.journal.maintain()
         self.syncing = None
 
     async def wait_until_idle(self) -> None:
--- a/rushhitch/journal/format.py
+++ b/rushhitch/journal/format.py
@@ -12,7 +12,7 @@
 was told of its number before: it is written when a message is taken, and again, with its attempts, when
 compaction copies it forward; being one record, such a copy is there as a whole or not at all.
 
-A message is recorded before its client is answered. Version 2 adds `OFFER` and `ACCEPT`, for journals that
+A message is recorded before its client is answered. Version 2 adds `RECEIVED` and `ACCEPTED`, for journals that
 sync: an offer is a message, behind a mark of the run of the machine, whose client has no answer yet. Segments
 that are written without syncs have neither, and are of version 1, which an earlier build reads: there, a flag
 of the message says that its answer came later, and the answer file (`answers.py`) which ones did.
@@ -30,27 +30,40 @@
 from typing import Any
 
 MAGIC, VERSION = b"RHJL", 2
-VERSION_WITHOUT_OFFERS = 1
+VERSION_WITHOUT_RECEIVED = 1
 HEADER = struct.Struct("<4sHH16sQQ")
 CHECKSUM = struct.Struct("<I")
 HEADER_SIZE = HEADER.size + CHECKSUM.size
 RECORD = struct.Struct("<IIQB")
 RECORD_SIZE = RECORD.size
-MOST_RECORD = 1 << 24  # bytes: no record is longer, a length beyond is damage
-
-MESSAGE, TRY, GOT, OWE, END, COLD, WARM, HANDED, DENIED, OFFER, ACCEPT = range(1, 12)
-NAMES = ("", "message", "try", "got", "owe", "end", "cold", "warm", "handed", "denied", "offer", "accept")
-PLACED = frozenset({MESSAGE, OFFER, COLD})  # what compaction copies forward
+MAX_RECORD_BYTES = 1 << 24  # bytes: no record is longer, a length beyond is damage
+
+MESSAGE, ATTEMPT, OUTCOME, NOTICE, END, COLD, WARM, AWAITING_ACK, NOT_RUN, RECEIVED, ACCEPTED = range(1, 12)
+KIND_NAMES = (
+    "",
+    "message",
+    "try",
+    "got",
+    "owe",
+    "end",
+    "cold",
+    "warm",
+    "handed",
+    "denied",
+    "offer",
+    "accept",
+)
+COPIED_KINDS = frozenset({MESSAGE, RECEIVED, COLD})  # what compaction copies forward
 BOOT_SIZE = 8  # bytes that mark a run of the machine
 SYNCED = 1  # flag of a segment
-AGAIN, KEYED, TRIED, REMEMBERED, EVENT = 1, 2, 4, 8, 16  # flags of a message
-EARLY = 32  # likewise: recorded before its client was answered; builds before pass over it
+MAY_REPEAT_FLAG, HAS_KEY, HAS_HISTORY, REMEMBER_ID, HAS_ATTRIBUTES = 1, 2, 4, 8, 16  # flags of a message
+UNANSWERED = 32  # likewise: recorded before its client was answered; builds before pass over it
 MESSAGE_HEAD = struct.Struct("<QddqHBBB")  # number, deadline, taken at, destination, attempts, flags, lengths
 NUMBER = struct.Struct("<Q")
-TRY_HEAD = struct.Struct("<QHd")
-GOT_HEAD = struct.Struct("<QHB")
-HANDED_HEAD = struct.Struct("<QH")  # an attempt was answered, and is acknowledged later; `DENIED` has a mark
-OWE_HEAD = struct.Struct("<Qd")
+ATTEMPT_HEAD = struct.Struct("<QHd")
+OUTCOME_HEAD = struct.Struct("<QHB")
+ATTEMPT_KEY = struct.Struct("<QH")  # an attempt was answered, and is acknowledged later; `NOT_RUN` has a mark
+NOTICE_HEAD = struct.Struct("<Qd")
 PACE = struct.Struct("<d")
 LENGTH = struct.Struct("<I")
 KEY_SIZE = 16  # bytes: a key has 32 hexadecimal digits at most
@@ -87,17 +100,17 @@
     marks: list[bytes] = field(default_factory=list)  # of acknowledgements by which an attempt never ran
     tenant: str = ""
     idempotency: bytes = b""  # the key by which its endpoint knows a repeat
-    home: Any = field(
+    segment: Any = field(
         default=None, compare=False, repr=False
     )  # segment of its newest `MESSAGE` record, or None
 
     def attempt_ended(self, number: int, may_have_run: bool) -> None:
         """The outcome of an attempt that was out."""
-        where = self.out.pop(number, None)
+        location = self.out.pop(number, None)
         if self.awaiting_ack == number:
             self.awaiting_ack = None
-        if where is not None and may_have_run and (self.ran is None or where[1] < self.ran[1]):
-            self.ran = where
+        if location is not None and may_have_run and (self.ran is None or location[1] < self.ran[1]):
+            self.ran = location
 
     @property
     def first_run(self) -> tuple[str, float] | None:
@@ -114,42 +127,46 @@
     return hashlib.blake2b(boot.encode(), digest_size=BOOT_SIZE).digest() if boot else bytes(BOOT_SIZE)
 
 
-def message_payload(kept: JournalEntry, early: bool = False) -> bytes:
-    """All that is known of a message; `early`, while its client has no answer."""
-    cls, extra = kept.cls.encode(), b""
-    flags = (AGAIN if kept.again else 0) | (REMEMBERED if kept.remember else 0) | (EARLY if early else 0)
-    if kept.key:
-        flags |= KEYED
-        extra = kept.key.to_bytes(KEY_SIZE, "little")
-    named = [kept.tenant, kept.idempotency.decode("latin-1")]
-    if kept.out or kept.ran or kept.notice or kept.marks or any(named):
-        flags |= TRIED
-        tried: list[Any] = [kept.ran, list(kept.out.items()), kept.notice]
-        if kept.awaiting_ack is not None or kept.marks or any(named):
-            tried += [kept.awaiting_ack, [mark.hex() for mark in kept.marks]]
+def message_payload(entry: JournalEntry, unanswered: bool = False) -> bytes:
+    """All that is known of a message; `unanswered`, while its client has no answer."""
+    cls, extra = entry.cls.encode(), b""
+    flags = (
+        (MAY_REPEAT_FLAG if entry.again else 0)
+        | (REMEMBER_ID if entry.remember else 0)
+        | (UNANSWERED if unanswered else 0)
+    )
+    if entry.key:
+        flags |= HAS_KEY
+        extra = entry.key.to_bytes(KEY_SIZE, "little")
+    named = [entry.tenant, entry.idempotency.decode("latin-1")]
+    if entry.out or entry.ran or entry.notice or entry.marks or any(named):
+        flags |= HAS_HISTORY
+        tried: list[Any] = [entry.ran, list(entry.out.items()), entry.notice]
+        if entry.awaiting_ack is not None or entry.marks or any(named):
+            tried += [entry.awaiting_ack, [mark.hex() for mark in entry.marks]]
         if any(named):  # last, where builds that do not know of them pass over them
             tried += named
-        told = json.dumps(tried, separators=(",", ":")).encode()
-        extra += LENGTH.pack(len(told)) + told
-    if kept.attributes:
-        flags |= EVENT
-        extra += LENGTH.pack(len(kept.attributes)) + kept.attributes
+        history = json.dumps(tried, separators=(",", ":")).encode()
+        extra += LENGTH.pack(len(history)) + history
+    if entry.attributes:
+        flags |= HAS_ATTRIBUTES
+        extra += LENGTH.pack(len(entry.attributes)) + entry.attributes
     head = MESSAGE_HEAD.pack(
-        kept.number,
-        kept.deadline,
-        kept.accepted_at,
-        kept.destination,
-        kept.attempts,
+        entry.number,
+        entry.deadline,
+        entry.accepted_at,
+        entry.destination,
+        entry.attempts,
         flags,
-        len(kept.id),
+        len(entry.id),
         len(cls),
     )
-    return b"".join((head, kept.id, cls, extra, kept.body))
+    return b"".join((head, entry.id, cls, extra, entry.body))
 
 
-def is_early(payload: bytes) -> bool:
+def is_unanswered(payload: bytes) -> bool:
     """Whether the message of a record had no answer as it was written."""
-    return MESSAGE_HEAD.unpack_from(payload)[5] & EARLY > 0
+    return MESSAGE_HEAD.unpack_from(payload)[5] & UNANSWERED > 0
 
 
 def read_message(payload: bytes, classes: dict[bytes, str]) -> JournalEntry:
@@ -164,13 +181,13 @@
     if known is None:
         known = classes[cls] = cls.decode()
     key = 0
-    if flags & KEYED:
+    if flags & HAS_KEY:
         key, at = int.from_bytes(payload[at : at + KEY_SIZE], "little"), at + KEY_SIZE
     out: dict[int, tuple[str, float]] = {}
     ran = notice = handed = None
     marks: list[bytes] = []
     tenant, idempotency = "", ""
-    if flags & TRIED:
+    if flags & HAS_HISTORY:
         (size,) = LENGTH.unpack_from(payload, at)
         at += LENGTH.size
         ran, tries, notice, *rest = json.loads(payload[at : at + size])
@@ -182,11 +199,11 @@
         out = {attempt: (endpoint, when) for attempt, (endpoint, when) in tries}
         ran, notice = tuple(ran) if ran else None, tuple(notice) if notice else None
     attributes = b""
-    if flags & EVENT:
+    if flags & HAS_ATTRIBUTES:
         (size,) = LENGTH.unpack_from(payload, at)
         at += LENGTH.size
         attributes, at = payload[at : at + size], at + size
-    again = flags & AGAIN > 0
+    again = flags & MAY_REPEAT_FLAG > 0
     return JournalEntry(
         number,
         name,
@@ -201,7 +218,7 @@
         ran,
         notice,
         accepted_at,
-        flags & REMEMBERED > 0,
+        flags & REMEMBER_ID > 0,
         attributes,
         handed,
         marks,
@@ -220,7 +237,7 @@
 
 
 def header(identity: bytes, segment: int, base: int, synced: bool = False) -> bytes:
-    version = VERSION if synced else VERSION_WITHOUT_OFFERS
+    version = VERSION if synced else VERSION_WITHOUT_RECEIVED
     head = HEADER.pack(MAGIC, version, SYNCED if synced else 0, identity, segment, base)
     return head + CHECKSUM.pack(zlib.crc32(head))
 
@@ -255,7 +272,7 @@
 class Scan:
     """How the reading of a segment went."""
 
-    good: int = 0  # bytes up to the end of the last record
+    valid_bytes: int = 0  # bytes up to the end of the last record
     torn: int = 0  # bytes at the end that make no whole record
     damaged: int = 0  # bytes before the last record that make none
 
@@ -265,19 +282,19 @@
     record; `scan` tells afterwards what was left out."""
     at, size = HEADER_SIZE, len(data)
     crc32, unpack = zlib.crc32, RECORD.unpack_from
-    scan.good = at
+    scan.valid_bytes = at
     least = 0  # sequence numbers only go up: what looks like an older record is part of some body
     while at + RECORD_SIZE <= size:
         length, checksum, sequence, kind = unpack(data, at)
         end = at + RECORD_SIZE + length
-        if length <= MOST_RECORD and end <= size and sequence >= least and 0 < kind < len(NAMES):
+        if length <= MAX_RECORD_BYTES and end <= size and sequence >= least and 0 < kind < len(KIND_NAMES):
             payload = data[at + RECORD_SIZE : end]
             if crc32(payload, (sequence << 3 | kind) & 0xFFFFFFFF) == checksum:
-                if at > scan.good:
-                    scan.damaged += at - scan.good
+                if at > scan.valid_bytes:
+                    scan.damaged += at - scan.valid_bytes
                 yield sequence, kind, payload
-                at = scan.good = end
+                at = scan.valid_bytes = end
                 least = sequence + 1
                 continue
         at += 1
-    scan.torn = size - scan.good
+    scan.torn = size - scan.valid_bytes
--- a/rushhitch/journal/inspect.py
+++ b/rushhitch/journal/inspect.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from rushhitch.journal.format import JournalEntry
-from rushhitch.journal.replay import Report
+from rushhitch.journal.replay import ReplayReport
 from rushhitch.journal.store import Journal
 
 
-def span(seconds: float) -> str:
+def format_duration(seconds: float) -> str:
     """A duration to two figures or so: 0.4s, 12s, 3m20s, 2h05m."""
     sign, seconds = "-" if seconds < 0 else "", abs(seconds)
     if seconds < 10:
@@ -19,48 +19,48 @@
     return f"{sign}{int(seconds // 3600)}h{int(seconds % 3600 // 60):02d}m"
 
 
-def owed(kept: JournalEntry) -> str:
-    if kept.notice is not None:
-        result, wait = kept.notice
+def pending_result(entry: JournalEntry) -> str:
+    if entry.notice is not None:
+        result, wait = entry.notice
         if result in ("delivered", "failed"):
             return f"nothing: remembered as {result}"
         return f"notice {result}" + (f", come back after {wait:.0f} ms" if wait else "")
     return "its end"
 
 
-def tried(kept: JournalEntry, now: float) -> str:
-    if not kept.attempts:
+def attempts_text(entry: JournalEntry, now: float) -> str:
+    if not entry.attempts:
         return "never"
-    told = [f"{kept.attempts}x"]
-    for number, (where, at) in kept.out.items():
-        state = "answered, to be acknowledged by" if number == kept.awaiting_ack else "out at"
-        told.append(f"{state} {where} for {span(now - at)}")
-    if kept.ran is not None:
-        where, at = kept.ran
-        told.append(f"may have run at {where or 'an unknown place'} {span(now - at)} ago")
-    elif not kept.out:
-        told.append("proven not to have run")
-    return ", ".join(told)
+    parts = [f"{entry.attempts}x"]
+    for number, (location, at) in entry.out.items():
+        state = "answered, to be acknowledged by" if number == entry.awaiting_ack else "out at"
+        parts.append(f"{state} {location} for {format_duration(now - at)}")
+    if entry.ran is not None:
+        location, at = entry.ran
+        parts.append(f"may have run at {location or 'an unknown place'} {format_duration(now - at)} ago")
+    elif not entry.out:
+        parts.append("proven not to have run")
+    return ", ".join(parts)
 
 
 def table(journal: Journal, now: float) -> str:
     """One line for each live message, and what the folder holds."""
     rows = [("number", "id", "class", "dest", "since", "time left", "bytes", "tried", "owed")]
-    for kept in journal.entries():
-        since = span(now - kept.accepted_at) if kept.accepted_at else "?"
-        left = span(kept.deadline - now)
-        name = kept.id.decode("latin-1")
+    for entry in journal.entries():
+        since = format_duration(now - entry.accepted_at) if entry.accepted_at else "?"
+        left = format_duration(entry.deadline - now)
+        name = entry.id.decode("latin-1")
         rows.append(
             (
-                str(kept.number),
+                str(entry.number),
                 name,
-                kept.cls,
-                str(kept.destination),
+                entry.cls,
+                str(entry.destination),
                 since,
                 left,
-                str(len(kept.body)),
-                tried(kept, now),
-                owed(kept),
+                str(len(entry.body)),
+                attempts_text(entry, now),
+                pending_result(entry),
             )
         )
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
@@ -74,13 +74,15 @@
     return "\n".join(lines + damage(journal.report))
 
 
-def damage(report: Report) -> list[str]:
+def damage(report: ReplayReport) -> list[str]:
     """What replay found wrong, a line each."""
     lines = [f"{name}: its header is damaged" for name in report.unreadable]
     if report.damaged:
         lines.append(f"{report.damaged} bytes in the middle of segments make no record")
     if report.lost:
         lines.append(f"{report.lost} records are lost, by their sequence numbers")
-    if report.doubted:
-        lines.append(f"{report.doubted} live messages may have lost an attempt and count as possibly run")
+    if report.possibly_run:
+        lines.append(
+            f"{report.possibly_run} live messages may have lost an attempt and count as possibly run"
+        )
     return lines
--- a/rushhitch/journal/legacy.py
+++ b/rushhitch/journal/legacy.py
@@ -54,19 +54,19 @@
         )
     elif what == "try":
         number, endpoint, at = rest
-        kept = live[subject]
-        kept.out[number] = (endpoint, at)
-        kept.attempts = max(kept.attempts, number + 1)
+        entry = live[subject]
+        entry.out[number] = (endpoint, at)
+        entry.attempts = max(entry.attempts, number + 1)
     elif what == "got":
         number, may_have_run = rest
-        kept = live[subject]
-        where = kept.out.pop(number)
-        if may_have_run and (kept.ran is None or where[1] < kept.ran[1]):
-            kept.ran = where
+        entry = live[subject]
+        where = entry.out.pop(number)
+        if may_have_run and (entry.ran is None or where[1] < entry.ran[1]):
+            entry.ran = where
     elif what == "sum":
-        kept = live[subject]
-        kept.attempts, ran = rest
-        kept.ran = tuple(ran) if ran else None
+        entry = live[subject]
+        entry.attempts, ran = rest
+        entry.ran = tuple(ran) if ran else None
     elif what == "owe":
         live[subject].notice = (rest[0], rest[1])
         live[subject].body = b""
--- a/rushhitch/journal/replay.py
+++ b/rushhitch/journal/replay.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass, field
 
 from rushhitch.journal import format as form
-from rushhitch.journal.acceptance import Acceptances
+from rushhitch.journal.acceptance import AnswerTracker
 from rushhitch.journal.files import Files
 from rushhitch.journal.format import JournalEntry, JournalError
-from rushhitch.journal.segments import PREFIX, SUFFIX, Segment, warm_up
+from rushhitch.journal.segments import PREFIX, SUFFIX, Segment, forget_cold
 
 
 @dataclass(slots=True)
-class Report:
+class ReplayReport:
     """What replay found."""
 
     records: int = 0
@@ -20,8 +20,8 @@
     damaged: int = 0  # bytes elsewhere that make none
     lost: int = 0  # records that are missing by their sequence numbers
     unreadable: list[str] = field(default_factory=list)  # segments whose header is damaged
-    doubted: int = 0  # live messages that may have lost an attempt: they count as possibly run
-    carried: int = 0  # messages that came over from the JSON journal
+    possibly_run: int = 0  # live messages that may have lost an attempt: they count as possibly run
+    migrated: int = 0  # messages that came over from the JSON journal
 
     @property
     def clean(self) -> bool:
@@ -40,8 +40,8 @@
         self.identity = b""
         self.sequence = 0  # of the record that comes next
         self.highest = 0  # number of a message
-        self.acceptances = Acceptances()
-        self.report = Report()
+        self.answer_tracker = AnswerTracker()
+        self.report = ReplayReport()
 
     def read(self, names: dict[str, int]) -> None:
         """Follow all segments, whose names and sizes these are. A `JournalError` where they make none."""
@@ -50,24 +50,24 @@
         found = sorted(n for n in names if n.startswith(PREFIX) and n.endswith(SUFFIX))
         for name in found:
             data = self.files.read(name)
-            told = form.read_header(data, name)
-            number = told.segment if told else int(name[len(PREFIX) : -len(SUFFIX)])
-            segment = Segment(number, told.base if told else 0, names[name])
+            header = form.read_header(data, name)
+            number = header.segment if header else int(name[len(PREFIX) : -len(SUFFIX)])
+            segment = Segment(number, header.base if header else 0, names[name])
             self.segments.append(segment)
-            if told is None:
+            if header is None:
                 if len(data) >= form.HEADER_SIZE:  # shorter, and its making was cut off
                     self.report.unreadable.append(name)
                     segment.damaged, segment.base = True, expected or 0  # as it follows from the one before
                     after = self.read_segment(segment, data, expected, classes)
                     expected = after if expected is not None else None
                 continue
-            if self.identity and told.identity != self.identity:
+            if self.identity and header.identity != self.identity:
                 raise JournalError(
                     f"{name} belongs to another journal than the files before it: move it away"
                 )
-            self.identity = told.identity
+            self.identity = header.identity
             last = name == found[-1]
-            expected = self.read_segment(segment, data, expected, classes, told.synced, last)
+            expected = self.read_segment(segment, data, expected, classes, header.synced, last)
         self.sequence = expected or 0
 
     def read_segment(
@@ -104,32 +104,32 @@
     def gap(self, segment: Segment, missing: int) -> None:
         """Records are lost. An attempt may have been among them: what was live may have run."""
         segment.damaged = True
-        self.acceptances.lose_records()
+        self.answer_tracker.records_lost()
         self.report.lost += max(missing, 1)
-        for kept in self.live.values():
-            if kept.notice is None:
-                self.report.doubted += 1
-                if kept.ran is None or kept.accepted_at < kept.ran[1]:
-                    kept.ran = ("", kept.accepted_at)
-                kept.attempts = max(kept.attempts, 1)
+        for entry in self.live.values():
+            if entry.notice is None:
+                self.report.possibly_run += 1
+                if entry.ran is None or entry.accepted_at < entry.ran[1]:
+                    entry.ran = ("", entry.accepted_at)
+                entry.attempts = max(entry.attempts, 1)
 
     def apply(self, segment: Segment, kind: int, payload: bytes, classes: dict[bytes, str]) -> None:
         """Follow one record. Of a message that is not known only its end is left: its start was dropped."""
-        if kind == form.ACCEPT:
-            self.acceptances.accept(form.NUMBER.unpack(payload)[0])
+        if kind == form.ACCEPTED:
+            self.answer_tracker.message_accepted(form.NUMBER.unpack(payload)[0])
             return
-        self.acceptances.record()
-        if kind == form.MESSAGE or kind == form.OFFER:
-            start = form.BOOT_SIZE if kind == form.OFFER else 0
+        self.answer_tracker.other_record()
+        if kind == form.MESSAGE or kind == form.RECEIVED:
+            start = form.BOOT_SIZE if kind == form.RECEIVED else 0
             message = form.read_message(payload[start:], classes)
             number = message.number
-            if kind == form.OFFER:
-                self.acceptances.offer(number, payload[:start])
+            if kind == form.RECEIVED:
+                self.answer_tracker.message_received(number, payload[:start])
             else:
-                self.acceptances.message(number, form.is_early(payload))
+                self.answer_tracker.message_recorded(number, form.is_unanswered(payload))
             if number in self.live:
-                self.live[number].home.live.pop(number, None)
-            message.home = segment
+                self.live[number].segment.live.pop(number, None)
+            message.segment = segment
             self.live[number] = message
             segment.live[number] = None
             if number > self.highest:
@@ -137,35 +137,35 @@
             return
         if kind == form.COLD:
             endpoint = payload[form.PACE.size :].decode()
-            warm_up(endpoint, self.cold, self.cold_homes)
+            forget_cold(endpoint, self.cold, self.cold_homes)
             self.cold[endpoint], self.cold_homes[endpoint] = form.PACE.unpack_from(payload)[0], segment
             segment.cold.add(endpoint)
             return
         if kind == form.WARM:
-            warm_up(payload.decode(), self.cold, self.cold_homes)
+            forget_cold(payload.decode(), self.cold, self.cold_homes)
             return
-        kept = self.live.get(form.NUMBER.unpack_from(payload)[0])
-        if kept is None:
+        entry = self.live.get(form.NUMBER.unpack_from(payload)[0])
+        if entry is None:
             return
-        if kind == form.TRY:
-            _, number, at = form.TRY_HEAD.unpack_from(payload)
-            kept.out[number] = (payload[form.TRY_HEAD.size :].decode(), at)
-            kept.attempts = max(kept.attempts, number + 1)
-        elif kind == form.GOT:
-            _, number, may_have_run = form.GOT_HEAD.unpack(payload)
-            if number in kept.out:
-                kept.attempt_ended(number, bool(may_have_run))
-        elif kind == form.HANDED:
-            kept.awaiting_ack = form.HANDED_HEAD.unpack(payload)[1]
-        elif kind == form.DENIED:
-            _, number = form.HANDED_HEAD.unpack_from(payload)
-            if number in kept.out:
-                kept.attempt_ended(number, may_have_run=False)
-            kept.marks.append(payload[form.HANDED_HEAD.size :])
-        elif kind == form.OWE:
-            _, wait_ms = form.OWE_HEAD.unpack_from(payload)
-            kept.notice, kept.body = (payload[form.OWE_HEAD.size :].decode(), wait_ms), b""
+        if kind == form.ATTEMPT:
+            _, number, at = form.ATTEMPT_HEAD.unpack_from(payload)
+            entry.out[number] = (payload[form.ATTEMPT_HEAD.size :].decode(), at)
+            entry.attempts = max(entry.attempts, number + 1)
+        elif kind == form.OUTCOME:
+            _, number, may_have_run = form.OUTCOME_HEAD.unpack(payload)
+            if number in entry.out:
+                entry.attempt_ended(number, bool(may_have_run))
+        elif kind == form.AWAITING_ACK:
+            entry.awaiting_ack = form.ATTEMPT_KEY.unpack(payload)[1]
+        elif kind == form.NOT_RUN:
+            _, number = form.ATTEMPT_KEY.unpack_from(payload)
+            if number in entry.out:
+                entry.attempt_ended(number, may_have_run=False)
+            entry.marks.append(payload[form.ATTEMPT_KEY.size :])
+        elif kind == form.NOTICE:
+            _, wait_ms = form.NOTICE_HEAD.unpack_from(payload)
+            entry.notice, entry.body = (payload[form.NOTICE_HEAD.size :].decode(), wait_ms), b""
         elif kind == form.END:
-            del self.live[kept.number]
-            self.acceptances.forget(kept.number)
-            kept.home.live.pop(kept.number, None)
+            del self.live[entry.number]
+            self.answer_tracker.forget(entry.number)
+            entry.segment.live.pop(entry.number, None)
--- a/rushhitch/journal/segments.py
+++ b/rushhitch/journal/segments.py
@@ -19,15 +19,15 @@
     live: dict[int, None] = field(default_factory=dict)  # whose newest `MESSAGE` record stands here
     cold: set[str] = field(default_factory=set)  # likewise of endpoints
     damaged: bool = False
-    safe: int = 0  # bytes that outlast the machine's power
-    named: bool = False  # its name does so too
+    durable_bytes: int = 0  # bytes that outlast the machine's power
+    name_durable: bool = False  # its name does so too
 
     @property
     def name(self) -> str:
         return f"{PREFIX}{self.number:012d}{SUFFIX}"
 
 
-def warm_up(endpoint: str, cold: dict[str, float], homes: dict[str, Segment]) -> None:
+def forget_cold(endpoint: str, cold: dict[str, float], homes: dict[str, Segment]) -> None:
     """Forget that the endpoint is cold, and where that is recorded."""
     cold.pop(endpoint, None)
     if (home := homes.pop(endpoint, None)) is not None:
--- a/rushhitch/journal/sidecar.py
+++ b/rushhitch/journal/sidecar.py
@@ -43,20 +43,20 @@
     def store(self, content: bytes) -> None:
         """Replace it; an `OSError` where the disk does not take it, and then the old one stands."""
         synced = self.journal.sync is not Sync.NONE
-        before = self.files.read(self.name) if synced and self.size else None
-        self.replace(sealed(content))
+        previous = self.files.read(self.name) if synced and self.size else None
+        self.replace(with_checksum(content))
         if not synced:
             return
         try:
             self.files.sync_folder()
         except OSError:
-            self.put_back(before)
+            self.restore(previous)
             raise
 
     def replace(self, data: bytes) -> None:
         """Write the whole of it beside the old one, and rename."""
         if self.journal.used + allocated_size(len(data)) > self.journal.space.disk:
-            self.journal.set_free(allocated_size(len(data)))
+            self.journal.make_room(allocated_size(len(data)))
         draft = self.name + DRAFT
         fd = self.files.create(draft)
         try:
@@ -75,11 +75,11 @@
         self.journal.used += allocated_size(len(data)) - allocated_size(self.size)
         self.size = len(data)
 
-    def put_back(self, before: bytes | None) -> None:
+    def restore(self, previous: bytes | None) -> None:
         """Guards against a change that was refused and holds from the next start on."""
         try:
-            if before is not None:
-                self.replace(before)
+            if previous is not None:
+                self.replace(previous)
                 return
             self.files.unlink(self.name)
             self.journal.used -= allocated_size(self.size)
@@ -88,10 +88,10 @@
             log.error("%s: a change that was refused may hold from the next start on: %s", self.name, error)
 
 
-def sealed(content: bytes) -> bytes:
+def with_checksum(content: bytes) -> bytes:
     return b"%08x\n" % zlib.crc32(content) + content
 
 
 def verified_content(data: bytes) -> bytes | None:
-    told, end, content = data.partition(b"\n")
-    return content if end and told == b"%08x" % zlib.crc32(content) else None
+    checksum, end, content = data.partition(b"\n")
+    return content if end and checksum == b"%08x" % zlib.crc32(content) else None
--- a/rushhitch/journal/steady_clock.py
+++ b/rushhitch/journal/steady_clock.py
@@ -11,7 +11,7 @@
 log = logging.getLogger(__name__)
 
 NAME = "clock"
-STEP_S = 1.0  # a difference beyond that is told: a wall clock that is kept right drifts by less
+WALL_CLOCK_STEP_S = 1.0  # a difference beyond that is told: a wall clock that is kept right drifts by less
 
 
 def steady_clock_offset_s(journal: Journal, wall_s: float, monotonic_s: float, boot: str) -> float:
@@ -19,20 +19,20 @@
     first of them takes it from the wall clock, a small file keeps it, and the others go on with it: whichever
     way the wall clock is stepped, attempts keep their ages and messages their deadlines. Where the monotonic
     clock reads less than when the file was written, it has begun anew, and so does the steady one."""
-    side, ahead_s = SidecarFile(journal, NAME), wall_s - monotonic_s
-    if (content := side.load()) is not None:
+    clock_file, ahead_s = SidecarFile(journal, NAME), wall_s - monotonic_s
+    if (content := clock_file.load()) is not None:
         try:
-            told = json.loads(content)
-            if boot and told["boot"] == boot and float(told.get("monotonic_s", 0.0)) <= monotonic_s:
-                before_s = float(told["ahead_s"])
-                if abs(before_s - ahead_s) > STEP_S:
-                    log.warning("the wall clock was stepped by %.3f s: spans keep", ahead_s - before_s)
-                return before_s
+            stored = json.loads(content)
+            if boot and stored["boot"] == boot and float(stored.get("monotonic_s", 0.0)) <= monotonic_s:
+                stored_ahead_s = float(stored["ahead_s"])
+                if abs(stored_ahead_s - ahead_s) > WALL_CLOCK_STEP_S:
+                    log.warning("the wall clock was stepped by %.3f s: spans keep", ahead_s - stored_ahead_s)
+                return stored_ahead_s
         except (ValueError, KeyError, TypeError) as error:
             log.error("%s makes no sense, ages go by the wall clock: %r", NAME, error)
     try:
-        told_s = {"boot": boot, "ahead_s": ahead_s, "monotonic_s": monotonic_s}
-        side.store(json.dumps(told_s).encode())
+        offset_record = {"boot": boot, "ahead_s": ahead_s, "monotonic_s": monotonic_s}
+        clock_file.store(json.dumps(offset_record).encode())
     except OSError as error:
         log.error("%s is not kept, ages over a restart go by the wall clock: %s", NAME, error)
     return ahead_s
--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -20,27 +20,29 @@
 
 from rushhitch.journal import format as form
 from rushhitch.journal import legacy
-from rushhitch.journal.acceptance import Acceptances
+from rushhitch.journal.acceptance import AnswerTracker
 from rushhitch.journal.answers import NAME as ANSWERS
 from rushhitch.journal.answers import SIZE as ANSWERS_SIZE
 from rushhitch.journal.answers import AnswerFile, Marks, read_marks
 from rushhitch.journal.boot import boot_id
 from rushhitch.journal.files import BLOCK, Files, allocated_size
 from rushhitch.journal.format import FolderInUseError, JournalEntry
-from rushhitch.journal.replay import Replay, Report
-from rushhitch.journal.segments import PREFIX, Segment, warm_up
+from rushhitch.journal.replay import Replay, ReplayReport
+from rushhitch.journal.segments import PREFIX, Segment, forget_cold
 from rushhitch.journal.space import RECORD_ROOM, Space
 
 log = logging.getLogger(__name__)
 
-LOCK, RESERVE, ASIDE = "lock", "reserve", "damaged-"
-STEP_MESSAGES = 128  # copied forward beside one flush at most: well under a millisecond
-STEP_BYTES = 131_072  # likewise, of bodies
-SEGMENT_RECORDS = 4_096  # a segment ends with so many: what is given back is not left to small records
-REPLAY_RECORDS = 8_192  # beyond so many, and `REPLAY_PER_LIVE` for each live message, a start reads too much
-REPLAY_PER_LIVE = 4  # a copy forward for every third record at most
-UNLINKS = 2  # beside one flush at most: each takes up to a millisecond
-RETRY_RESERVE_S = 1.0  # between two tries to take the reserve back from a disk that was full
+LOCK, RESERVE, DAMAGED_PREFIX = "lock", "reserve", "damaged-"
+MAX_COPIES_PER_STEP = 128  # copied forward beside one flush at most: well under a millisecond
+MAX_COPIED_BYTES_PER_STEP = 131_072  # likewise, of bodies
+MAX_SEGMENT_RECORDS = 4_096  # a segment ends with so many: what is given back is not left to small records
+MAX_REPLAY_RECORDS = (
+    8_192  # beyond so many, and `MAX_REPLAY_RECORDS_PER_ENTRY` for each live message, a start reads too much
+)
+MAX_REPLAY_RECORDS_PER_ENTRY = 4  # a copy forward for every third record at most
+MAX_UNLINKS_PER_FLUSH = 2  # beside one flush at most: each takes up to a millisecond
+RESERVE_RETRY_S = 1.0  # between two tries to take the reserve back from a disk that was full
 
 
 class Sync(Enum):
@@ -74,11 +76,11 @@
     def done(self) -> None:
         """In the thread of the journal, after `run` came back."""
         for segment, _, size in self.parts:
-            segment.safe, segment.named = max(segment.safe, size), True
+            segment.durable_bytes, segment.name_durable = max(segment.durable_bytes, size), True
             if segment.sealed:
                 self.journal.seal(segment)
         if self.folder:
-            self.journal.unlinked = False
+            self.journal.folder_unsynced = False
 
 
 class Journal:
@@ -118,16 +120,16 @@
         self.segments: list[Segment] = []
         self.used = 0  # bytes of all files, in whole blocks
         self.sequence = 0  # of the next record that is noted
-        self.copies: tuple[Segment, int] | None = None  # where the newest copies of compaction end
-        self.unlinked = False  # a segment was, and the folder is not synced yet
+        self.last_copy: tuple[Segment, int] | None = None  # where the newest copies of compaction end
+        self.folder_unsynced = False  # a segment was, and the folder is not synced yet
         self.pending: list[tuple[int, int, str, bytes]] = []  # noted, not written: message, type, endpoint
         self.pending_size = 0
-        self.failing = False  # the disk did not take what was noted
+        self.write_failing = False  # the disk did not take what was noted
         self.reserve = 0
         self.reserve_due = -float("inf")
         self.dropped: list[JournalEntry] = []  # by replay, since nobody was told that they are accepted
-        self.aside: dict[str, int] = {}  # damaged files that were set aside, in whole blocks
-        self.report = Report()
+        self.damaged_files: dict[str, int] = {}  # damaged files that were set aside, in whole blocks
+        self.report = ReplayReport()
         if writable and not self.files.lock(LOCK):
             raise FolderInUseError(
                 f"{folder} is held by another process: stop that one first, or use another folder"
@@ -166,27 +168,27 @@
 
     # What can happen to a message. Nothing is on disk before `flush`.
 
-    def record_accepted(self, kept: JournalEntry) -> None:
-        self.live[kept.number] = kept
-        self.live_bytes += self.cost(kept)
-        if kept.number > self.highest:
-            self.highest = kept.number
-        self.note(kept.number, form.MESSAGE, form.message_payload(kept))
+    def record_accepted(self, entry: JournalEntry) -> None:
+        self.live[entry.number] = entry
+        self.live_bytes += self.reserved_bytes(entry)
+        if entry.number > self.highest:
+            self.highest = entry.number
+        self.append_record(entry.number, form.MESSAGE, form.message_payload(entry))
 
-    def record_received(self, kept: JournalEntry) -> None:
+    def record_received(self, entry: JournalEntry) -> None:
         """The message came in; its client has no answer yet. After a kill it is dropped."""
-        self.unanswered.add(kept.number)
-        self.live[kept.number] = kept
-        self.live_bytes += self.cost(kept)
-        self.highest = max(self.highest, kept.number)
-        self.note_whole(kept)
+        self.unanswered.add(entry.number)
+        self.live[entry.number] = entry
+        self.live_bytes += self.reserved_bytes(entry)
+        self.highest = max(self.highest, entry.number)
+        self.append_entry(entry)
 
     def begin_answer(self, number: int) -> None:
         """The client of a recorded message is about to be told that it is accepted. Raises `OSError` where
         the disk does not take that: then nobody may be told. What was noted goes first: behind this, all
         messages before it count as answered but for those that the journal says have ended."""
         if number in self.unanswered and self.sync is not Sync.NONE:
-            self.note(number, form.ACCEPT, form.NUMBER.pack(number))
+            self.append_record(number, form.ACCEPTED, form.NUMBER.pack(number))
         if self.pending:
             self.flush(sync=False)
         self.answers.begin(number)
@@ -200,87 +202,89 @@
             log.error("the journal's answers cannot be written: %s", error)
         self.unanswered.discard(number)
 
-    def note_whole(self, kept: JournalEntry) -> None:
+    def append_entry(self, entry: JournalEntry) -> None:
         """Note all that is known of a live message, in one record."""
-        early = kept.number in self.unanswered
+        early = entry.number in self.unanswered
         if early and self.sync is not Sync.NONE:
-            self.note(kept.number, form.OFFER, self.boot + form.message_payload(kept))
+            self.append_record(entry.number, form.RECEIVED, self.boot + form.message_payload(entry))
         else:
-            self.note(kept.number, form.MESSAGE, form.message_payload(kept, early))
+            self.append_record(entry.number, form.MESSAGE, form.message_payload(entry, early))
 
     def record_attempt(self, message: int, number: int, endpoint: str, at: float) -> None:
-        kept = self.live[message]
-        kept.out[number] = (endpoint, at)
-        if number >= kept.attempts:
-            kept.attempts = number + 1
-        self.note(message, form.TRY, form.TRY_HEAD.pack(message, number, at) + endpoint.encode())
+        entry = self.live[message]
+        entry.out[number] = (endpoint, at)
+        if number >= entry.attempts:
+            entry.attempts = number + 1
+        self.append_record(
+            message, form.ATTEMPT, form.ATTEMPT_HEAD.pack(message, number, at) + endpoint.encode()
+        )
 
     def record_awaiting_ack(self, message: int, number: int) -> None:
         """The attempt was answered and stays out: an acknowledgement is to come."""
         self.live[message].awaiting_ack = number
-        self.note(message, form.HANDED, form.HANDED_HEAD.pack(message, number))
+        self.append_record(message, form.AWAITING_ACK, form.ATTEMPT_KEY.pack(message, number))
 
     def record_not_run(self, message: int, number: int, mark: bytes) -> None:
         """By an acknowledgement with that mark the attempt never ran."""
-        kept = self.live[message]
-        kept.attempt_ended(number, may_have_run=False)
-        kept.marks.append(mark)
-        self.note(message, form.DENIED, form.HANDED_HEAD.pack(message, number) + mark)
+        entry = self.live[message]
+        entry.attempt_ended(number, may_have_run=False)
+        entry.marks.append(mark)
+        self.append_record(message, form.NOT_RUN, form.ATTEMPT_KEY.pack(message, number) + mark)
 
     def record_outcome(self, message: int, number: int, may_have_run: bool) -> None:
         self.live[message].attempt_ended(number, may_have_run)
-        self.note(message, form.GOT, form.GOT_HEAD.pack(message, number, may_have_run))
+        self.append_record(message, form.OUTCOME, form.OUTCOME_HEAD.pack(message, number, may_have_run))
 
     def record_notice(self, message: int, result: str, wait_ms: float) -> None:
         """The message has ended, and the platform must be told."""
         self.ended(self.live[message], result, wait_ms)
-        self.note(message, form.OWE, form.OWE_HEAD.pack(message, wait_ms) + result.encode())
+        self.append_record(message, form.NOTICE, form.NOTICE_HEAD.pack(message, wait_ms) + result.encode())
 
-    def ended(self, kept: JournalEntry, result: str, wait_ms: float) -> None:
-        self.live_bytes -= self.cost(kept)
-        kept.notice, kept.body, kept.attributes = (result, wait_ms), b"", b""
-        self.live_bytes += self.cost(kept)
+    def ended(self, entry: JournalEntry, result: str, wait_ms: float) -> None:
+        self.live_bytes -= self.reserved_bytes(entry)
+        entry.notice, entry.body, entry.attributes = (result, wait_ms), b"", b""
+        self.live_bytes += self.reserved_bytes(entry)
 
     def record_end(self, message: int) -> None:
         """Nothing more is owed. What was noted of the message and is in no file will not be written; of one
         that is in no file at all nothing is."""
-        written = self.live[message].home is not None
+        written = self.live[message].segment is not None
         self.drop(message)
-        rest = [entry for entry in self.pending if entry[0] != message]
+        rest = [item for item in self.pending if item[0] != message]
         if len(rest) < len(self.pending):
-            self.forget_pending()
+            self.discard_pending()
             for other, kind, endpoint, data in rest:
-                self.note(other, kind, data[form.RECORD_SIZE :], endpoint)
+                self.append_record(other, kind, data[form.RECORD_SIZE :], endpoint)
         if written:
-            self.note(message, form.END, form.NUMBER.pack(message))
+            self.append_record(message, form.END, form.NUMBER.pack(message))
 
-    def forget_pending(self) -> None:
+    def discard_pending(self) -> None:
         self.sequence -= len(self.pending)
         self.pending, self.pending_size = [], 0
 
     def drop(self, message: int) -> None:
-        kept = self.live.pop(message)
+        entry = self.live.pop(message)
         self.unanswered.discard(message)
-        self.live_bytes -= self.cost(kept)
-        if kept.home is not None:
-            kept.home.live.pop(message, None)
+        self.live_bytes -= self.reserved_bytes(entry)
+        if entry.segment is not None:
+            entry.segment.live.pop(message, None)
 
     def record_cold(self, endpoint: str, pace_per_s: float) -> None:
         """The decisions take the endpoint to be cold."""
-        warm_up(endpoint, self.cold, self.cold_homes)
+        forget_cold(endpoint, self.cold, self.cold_homes)
         self.cold[endpoint] = pace_per_s
-        self.note_cold(endpoint)
+        self.append_cold(endpoint)
 
     def record_warm(self, endpoint: str) -> None:
         """It is warm, or gone."""
         if endpoint in self.cold:
-            warm_up(endpoint, self.cold, self.cold_homes)
-            self.note(0, form.WARM, endpoint.encode())
+            forget_cold(endpoint, self.cold, self.cold_homes)
+            self.append_record(0, form.WARM, endpoint.encode())
 
-    def note_cold(self, endpoint: str) -> None:
-        self.note(0, form.COLD, form.PACE.pack(self.cold[endpoint]) + endpoint.encode(), endpoint)
+    def append_cold(self, endpoint: str) -> None:
+        self.append_record(0, form.COLD, form.PACE.pack(self.cold[endpoint]) + endpoint.encode(), endpoint)
 
-    def note(self, message: int, kind: int, payload: bytes, endpoint: str = "") -> None:
+    def append_record(self, message: int, kind: int, payload: bytes, endpoint: str = "") -> None:
         sequence = self.sequence
         self.sequence = sequence + 1
         data = form.record(kind, sequence, payload)
@@ -290,25 +294,26 @@
     # Space
 
     @staticmethod
-    def cost(kept: JournalEntry) -> int:
-        named = len(kept.tenant) + len(kept.idempotency)
-        return RECORD_ROOM + named + len(kept.body) + len(kept.attributes)
+    def reserved_bytes(entry: JournalEntry) -> int:
+        named = len(entry.tenant) + len(entry.idempotency)
+        return RECORD_ROOM + named + len(entry.body) + len(entry.attributes)
 
     def has_room(self, body: int) -> bool:
         """Whether a message with a body of so many bytes may be taken on. Not while the disk is full."""
-        self.take_reserve()
+        self.allocate_reserve()
         self.open_answers()
-        cost = RECORD_ROOM + body
+        reserved_bytes = RECORD_ROOM + body
         fits = (
-            self.used + cost <= self.space.take_most and self.live_bytes + cost <= self.space.max_live_bytes
+            self.used + reserved_bytes <= self.space.max_bytes_when_accepting
+            and self.live_bytes + reserved_bytes <= self.space.max_live_bytes
         )
-        kept_back = self.reserve == self.space.reserve and self.answers.fd >= 0
-        return fits and not self.has_unwritten_records and kept_back
+        reserve_held = self.reserve == self.space.reserve and self.answers.fd >= 0
+        return fits and not self.has_unwritten_records and reserve_held
 
     @property
     def has_unwritten_records(self) -> bool:
         """Something noted is in no file, since the disk did not take it."""
-        return self.failing and bool(self.pending)
+        return self.write_failing and bool(self.pending)
 
     # Writing
 
@@ -319,81 +324,81 @@
             self.write_pending()
             if sync and self.sync is Sync.ALWAYS:
                 self.sync_now()
-        self.tend()
+        self.maintain()
 
     def write_pending(self) -> None:
         try:
             while self.pending:
-                self.write_some()
-            self.failing = False
+                self.write_batch()
+            self.write_failing = False
         except OSError:
-            self.failing = True
-            self.relieve()
+            self.write_failing = True
+            self.free_space()
             raise
 
-    def write_some(self) -> None:
+    def write_batch(self) -> None:
         """Write what was noted, as far as it fits the segment."""
         pending = self.pending
-        segment, fresh = self.head(len(pending[0][3]))
+        segment, fresh = self.writable_segment(len(pending[0][3]))
         size = segment.size + len(fresh) + self.pending_size
         if size <= self.space.segment:
             batch = pending
         else:
             batch, size = [], segment.size + len(fresh)
-            for entry in pending:
-                if batch and size + len(entry[3]) > self.space.segment:
+            for item in pending:
+                if batch and size + len(item[3]) > self.space.segment:
                     break
-                batch.append(entry)
-                size += len(entry[3])
-        data = b"".join([fresh, *[entry[3] for entry in batch]])
+                batch.append(item)
+                size += len(item[3])
+        data = b"".join([fresh, *[item[3] for item in batch]])
         if self.used + len(data) + BLOCK > self.space.disk:
-            self.set_free(allocated_size(size) - allocated_size(segment.size))
+            self.make_room(allocated_size(size) - allocated_size(segment.size))
         written = self.append(segment, data)
         if written == len(data):
-            self.note_written(segment, batch)
+            self.mark_written(segment, batch)
             return
         done, whole = 0, len(fresh)
-        for entry in batch:
-            if whole + len(entry[3]) > written:
+        for item in batch:
+            if whole + len(item[3]) > written:
                 break
-            done, whole = done + 1, whole + len(entry[3])
-        self.note_written(segment, batch[:done])
-        self.cut(segment, segment.size - written + (whole if done else 0))
+            done, whole = done + 1, whole + len(item[3])
+        self.mark_written(segment, batch[:done])
+        self.truncate_segment(segment, segment.size - written + (whole if done else 0))
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
-    def note_written(self, segment: Segment, batch: list[tuple[int, int, str, bytes]]) -> None:
+    def mark_written(self, segment: Segment, batch: list[tuple[int, int, str, bytes]]) -> None:
         for message, kind, endpoint, _ in batch:
-            if kind in form.PLACED:
-                self.placed(segment, message, endpoint, kind)
+            if kind in form.COPIED_KINDS:
+                self.record_location(segment, message, endpoint, kind)
         if batch is self.pending:
             self.pending, self.pending_size = [], 0
         else:
             del self.pending[: len(batch)]
-            self.pending_size -= sum(len(entry[3]) for entry in batch)
+            self.pending_size -= sum(len(item[3]) for item in batch)
 
-    def placed(self, segment: Segment, message: int, endpoint: str, kind: int) -> None:
+    def record_location(self, segment: Segment, message: int, endpoint: str, kind: int) -> None:
         """A record stands in the segment now."""
-        if kind == form.MESSAGE or kind == form.OFFER:
-            if (kept := self.live.get(message)) is not None:
-                if kept.home is not None:
-                    kept.home.live.pop(message, None)
-                    self.copies = (segment, segment.size)
-                kept.home = segment
+        if kind == form.MESSAGE or kind == form.RECEIVED:
+            if (entry := self.live.get(message)) is not None:
+                if entry.segment is not None:
+                    entry.segment.live.pop(message, None)
+                    self.last_copy = (segment, segment.size)
+                entry.segment = segment
                 segment.live[message] = None
         elif kind == form.COLD and endpoint in self.cold:
             if (home := self.cold_homes.get(endpoint)) is not None:
                 home.cold.discard(endpoint)
-                self.copies = (segment, segment.size)
+                self.last_copy = (segment, segment.size)
             self.cold_homes[endpoint] = segment
             segment.cold.add(endpoint)
 
-    def head(self, record: int) -> tuple[Segment, bytes]:
+    def writable_segment(self, record: int) -> tuple[Segment, bytes]:
         """The segment to write a record of so many bytes to, and its header if that has yet to be written."""
         if self.segments:
             last = self.segments[-1]
             if not last.sealed:
                 fits = last.size + record <= self.space.segment
-                fits = fits and self.sequence - len(self.pending) - last.base < SEGMENT_RECORDS
+                fits = fits and self.sequence - len(self.pending) - last.base < MAX_SEGMENT_RECORDS
                 if fits or last.size <= form.HEADER_SIZE:
                     return last, b"" if last.size else self.header(last)
                 self.seal(last)
@@ -419,33 +424,33 @@
         except OSError as error:
             written = self.files.size(segment.fd) - segment.size
             if not written:
-                self.fit(segment)
+                self.remove_headerless(segment)
                 raise
             log.debug("the journal took %d of %d bytes: %s", written, len(data), error)
-        self.grow(segment, segment.size + written)
+        self.set_segment_size(segment, segment.size + written)
         return written
 
-    def grow(self, segment: Segment, size: int) -> None:
+    def set_segment_size(self, segment: Segment, size: int) -> None:
         self.used += (
             -(-size // BLOCK) - -(-segment.size // BLOCK)
         ) * BLOCK  # `allocated_size`, at every write
         segment.size = size
 
-    def cut(self, segment: Segment, size: int) -> None:
+    def truncate_segment(self, segment: Segment, size: int) -> None:
         """Take back the torn end of a write. Where that fails too, the segment is left with it: nothing
         more is written there, and replay knows a torn end from damage by the sequence numbers."""
         try:
             self.files.truncate(segment.fd, size)
-            self.grow(segment, size)
+            self.set_segment_size(segment, size)
         except OSError as error:
             log.warning("journal: a torn end stays in %s: %s", segment.name, error)
             self.seal(segment)
-        self.fit(segment)
+        self.remove_headerless(segment)
 
-    def fit(self, segment: Segment) -> None:
+    def remove_headerless(self, segment: Segment) -> None:
         """A segment that holds no header is of no use, and its number is free."""
         if segment.size < form.HEADER_SIZE:
-            self.grow(segment, 0)
+            self.set_segment_size(segment, 0)
             self.seal(segment)
             with contextlib.suppress(OSError):
                 self.files.unlink(segment.name)
@@ -454,7 +459,7 @@
     def seal(self, segment: Segment) -> None:
         """Nothing more is written there. The file stays open until it is safe, where that is wanted."""
         segment.sealed = True
-        if segment.fd >= 0 and (self.sync is Sync.NONE or segment.safe >= segment.size):
+        if segment.fd >= 0 and (self.sync is Sync.NONE or segment.durable_bytes >= segment.size):
             fd, segment.fd = segment.fd, -1
             self.files.close(fd)
 
@@ -467,15 +472,15 @@
             try:
                 group.run()
             except OSError:
-                self.distrust()
+                self.rewrite_live_entries()
                 raise
             group.done()
 
     def sync_group(self) -> SyncGroup | None:
         """What was flushed so far, to be made safe; None if it is. Its `run` may go on in another thread
         beside further flushes. An `OSError` where no descriptor is left: then nothing has changed."""
-        due = [s for s in self.segments if s.fd >= 0 and (s.safe < s.size or not s.named)]
-        if not due and not self.unlinked:
+        due = [s for s in self.segments if s.fd >= 0 and (s.durable_bytes < s.size or not s.name_durable)]
+        if not due and not self.folder_unsynced:
             return None
         parts: list[tuple[Segment, int, int]] = []
         try:
@@ -485,33 +490,37 @@
             for _, fd, _ in parts:
                 self.files.close(fd)
             raise
-        return SyncGroup(self, parts, self.unlinked or not all(segment.named for segment in due))
+        return SyncGroup(
+            self, parts, self.folder_unsynced or not all(segment.name_durable for segment in due)
+        )
 
-    def distrust(self) -> None:
+    def rewrite_live_entries(self) -> None:
         """A sync has failed."""
         for segment in self.segments:
             segment.sealed = True
             if segment.fd >= 0:
                 fd, segment.fd = segment.fd, -1
                 self.files.close(fd)
-        known = {entry[0] for entry in self.pending if entry[1] in (form.MESSAGE, form.OFFER)}
+        known = {item[0] for item in self.pending if item[1] in (form.MESSAGE, form.RECEIVED)}
         for endpoint in self.cold:
-            self.note_cold(endpoint)
-        for kept in self.live.values():
-            if kept.number not in known:
-                self.note_whole(kept)
-        self.failing = True
+            self.append_cold(endpoint)
+        for entry in self.live.values():
+            if entry.number not in known:
+                self.append_entry(entry)
+        self.write_failing = True
         log.error("the journal's disk failed to sync: %d live messages are written anew", len(self.live))
 
-    def copies_safe(self) -> bool:
+    def copies_durable(self) -> bool:
         """Whether all that compaction has copied outlasts the power, as far as that is wanted."""
         if self.sync is Sync.NONE:
             return True
-        return not self.unlinked and (self.copies is None or self.copies[0].safe >= self.copies[1])
+        return not self.folder_unsynced and (
+            self.last_copy is None or self.last_copy[0].durable_bytes >= self.last_copy[1]
+        )
 
     # Relief
 
-    def relieve(self) -> None:
+    def free_space(self) -> None:
         """The disk is full: give back the reserve, damaged files and segments that hold nothing live, so
         that outcomes, notices and ends find room."""
         if self.reserve:
@@ -519,32 +528,32 @@
                 self.files.unlink(RESERVE)
             self.used -= allocated_size(self.reserve)
             self.reserve = 0
-        self.reserve_due = self.clock() + RETRY_RESERVE_S
-        self.drop_aside()
+        self.reserve_due = self.clock() + RESERVE_RETRY_S
+        self.delete_damaged_files()
         with contextlib.suppress(OSError):
-            self.unlink_dead(len(self.segments))
+            self.remove_dead_segments(len(self.segments))
 
-    def drop_aside(self) -> None:
-        for name in list(self.aside):
+    def delete_damaged_files(self) -> None:
+        for name in list(self.damaged_files):
             with contextlib.suppress(OSError):
                 self.files.unlink(name)
-                self.used -= self.aside.pop(name)
+                self.used -= self.damaged_files.pop(name)
 
-    def set_free(self, size: int) -> None:
+    def make_room(self, size: int) -> None:
         """Make room for so many bytes under the limit, at the cost of what matters least; an `OSError` where
         there is none."""
         if self.reserve:
-            self.relieve()
-        self.drop_aside()
+            self.free_space()
+        self.delete_damaged_files()
         if self.used + size > self.space.disk:
             raise OSError(errno.ENOSPC, "the journal has taken all of its disk_mb")
 
-    def take_reserve(self) -> None:
+    def allocate_reserve(self) -> None:
         """Real bytes on the disk, since a file of holes takes no room."""
         size = self.space.reserve
         if self.reserve == size or self.clock() < self.reserve_due:
             return
-        self.reserve_due = self.clock() + RETRY_RESERVE_S
+        self.reserve_due = self.clock() + RESERVE_RETRY_S
         if self.used + allocated_size(size) > self.space.disk:
             return
         try:
@@ -566,17 +575,17 @@
         """Have the answer file ready, in real bytes; nothing new is taken on without it."""
         if self.answers.fd >= 0 or self.clock() < self.answers_due:
             return
-        self.answers_due = self.clock() + RETRY_RESERVE_S
+        self.answers_due = self.clock() + RESERVE_RETRY_S
         try:
             size = self.files.names().get(ANSWERS, 0)
             if not size and self.used + ANSWERS_SIZE > self.space.disk:
                 return
-            self.answers.open(self.identity, self.marks_to_go_on_from())
+            self.answers.open(self.identity, self.initial_marks())
             self.used += ANSWERS_SIZE - allocated_size(size)
         except OSError as error:
             log.error("the journal's answers cannot be kept, nothing is taken on: %s", error)
 
-    def marks_to_go_on_from(self) -> Marks:
+    def initial_marks(self) -> Marks:
         """Those that the file has, if they are of this run of the machine; else such as leave in doubt what
         is, until its refusal is recorded."""
         if self.marks is not None and self.marks.boot == self.boot and any(self.boot):
@@ -586,28 +595,31 @@
 
     # Compaction
 
-    def tend(self) -> None:
+    def maintain(self) -> None:
         """A bit of compaction, and the reserve. Never fails: what the disk does not take is tried again."""
         segments = self.segments
         if len(segments) > 1:
             oldest = segments[0]
             dead = not oldest.live and not oldest.cold
             if dead or self.crowded():
-                self.work_off()
+                self.run_compaction()
         if self.reserve != self.space.reserve:
-            self.take_reserve()
+            self.allocate_reserve()
 
     def crowded(self, share: float = 1.0) -> bool:
         """Whether old segments are to be worked off, as the disk fills or a start would read too much; with a
         share, whether that is so near."""
         records = self.sequence - self.segments[0].base
-        most = REPLAY_RECORDS + REPLAY_PER_LIVE * len(self.live)
-        full = self.used > share * self.space.compact_from or len(self.segments) > share * self.space.segments
+        most = MAX_REPLAY_RECORDS + MAX_REPLAY_RECORDS_PER_ENTRY * len(self.live)
+        full = (
+            self.used > share * self.space.compaction_start_bytes
+            or len(self.segments) > share * self.space.segments
+        )
         return full or records > share * most
 
-    def work_off(self) -> None:
+    def run_compaction(self) -> None:
         try:
-            self.unlink_dead()
+            self.remove_dead_segments()
             if self.pending:
                 return
             if self.crowded():
@@ -616,11 +628,11 @@
                 moved = self.step()
                 if self.sync is not Sync.NONE:
                     self.sync_now()
-                if not (self.unlink_dead() or moved):
+                if not (self.remove_dead_segments() or moved):
                     break
         except OSError as error:
             log.info("journal: compaction waits: %s", error)
-            self.relieve()
+            self.free_space()
 
     def step(self) -> bool:
         """Copy some of the oldest segment's live messages forward, and drop the segment when none is left.
@@ -631,24 +643,24 @@
         oldest = self.segments[0]
         size = 0
         for count, number in enumerate(oldest.live):
-            kept = self.live[number]
-            self.note_whole(kept)
-            size += len(kept.body) + len(kept.attributes)
-            if count + 1 >= STEP_MESSAGES or size >= STEP_BYTES:
+            entry = self.live[number]
+            self.append_entry(entry)
+            size += len(entry.body) + len(entry.attributes)
+            if count + 1 >= MAX_COPIES_PER_STEP or size >= MAX_COPIED_BYTES_PER_STEP:
                 break
         for endpoint in oldest.cold:
-            self.note_cold(endpoint)
+            self.append_cold(endpoint)
         moved = bool(self.pending)
         if moved:
             try:
                 self.write_pending()
             except OSError:
-                self.forget_pending()  # copies only: the originals stand where they stood
-                self.failing = False
+                self.discard_pending()  # copies only: the originals stand where they stood
+                self.write_failing = False
                 raise
-        return self.unlink_dead() or moved
+        return self.remove_dead_segments() or moved
 
-    def unlink_dead(self, most: int = UNLINKS) -> bool:
+    def remove_dead_segments(self, most: int = MAX_UNLINKS_PER_FLUSH) -> bool:
         """Drop segments from the oldest on while they hold nothing live: never one in the middle, since what
         ended there may have begun in an older one."""
         dropped = 0
@@ -660,20 +672,20 @@
         ):
             if self.sync is Sync.ALWAYS:
                 self.sync_now()
-            if not self.copies_safe():  # the copies, before the originals go
+            if not self.copies_durable():  # the copies, before the originals go
                 break
             oldest = self.segments[0]
-            oldest.safe = oldest.size  # nothing of it is wanted any more
+            oldest.durable_bytes = oldest.size  # nothing of it is wanted any more
             self.seal(oldest)
-            if oldest.damaged and self.used + oldest.size < self.space.compact_from:
-                self.files.rename(oldest.name, ASIDE + oldest.name)
-                self.aside[ASIDE + oldest.name] = allocated_size(oldest.size)
-                log.warning("journal: the damaged file is kept as %s", ASIDE + oldest.name)
+            if oldest.damaged and self.used + oldest.size < self.space.compaction_start_bytes:
+                self.files.rename(oldest.name, DAMAGED_PREFIX + oldest.name)
+                self.damaged_files[DAMAGED_PREFIX + oldest.name] = allocated_size(oldest.size)
+                log.warning("journal: the damaged file is kept as %s", DAMAGED_PREFIX + oldest.name)
             else:
                 self.files.unlink(oldest.name)
                 self.used -= allocated_size(oldest.size)
             self.segments.pop(0)
-            self.unlinked = (
+            self.folder_unsynced = (
                 self.sync is not Sync.NONE
             )  # or a power cut could bring back this and not the next
             dropped += 1
@@ -683,19 +695,19 @@
         """All of it at once: for the command line, with the dispatcher down."""
         if self.segments:
             self.roll()
-            kept_from = self.segments[-1].number
-            while self.segments[0].number < kept_from and self.step():
+            first_new_segment = self.segments[-1].number
+            while self.segments[0].number < first_new_segment and self.step():
                 if self.sync is not Sync.NONE:
                     self.sync_now()
-            self.unlink_dead(len(self.segments))
+            self.remove_dead_segments(len(self.segments))
 
     def roll(self) -> None:
         """Go on in a new segment."""
         if self.segments:
             self.seal(self.segments[-1])
-        segment, fresh = self.head(0)
+        segment, fresh = self.writable_segment(0)
         if fresh and self.append(segment, fresh) < len(fresh):
-            self.cut(segment, 0)
+            self.truncate_segment(segment, 0)
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     # Reading
@@ -705,30 +717,32 @@
         names = self.files.names()
         self.used = sum(allocated_size(size) for size in names.values())
         self.reserve = names.get(RESERVE, 0)
-        self.aside = {name: allocated_size(size) for name, size in names.items() if name.startswith(ASIDE)}
+        self.damaged_files = {
+            name: allocated_size(size) for name, size in names.items() if name.startswith(DAMAGED_PREFIX)
+        }
         if legacy.NAME in names:
             self.live, self.cold, bad = legacy.read(self.files.read(legacy.NAME))
-            self.report.carried, self.report.lost = len(self.live), bad
+            self.report.migrated, self.report.lost = len(self.live), bad
         else:
             replay = Replay(self.files)
             replay.read(names)
             self.live, self.cold, self.cold_homes = replay.live, replay.cold, replay.cold_homes
             self.segments, self.identity, self.sequence = replay.segments, replay.identity, replay.sequence
             self.highest, self.report = replay.highest, replay.report
-            self.settle_acceptances(names, replay.acceptances)
-        self.live_bytes = sum(map(self.cost, self.live.values()))
-        self.highest = max(self.live, default=0) if self.report.carried else self.highest
+            self.settle_acceptances(names, replay.answer_tracker)
+        self.live_bytes = sum(map(self.reserved_bytes, self.live.values()))
+        self.highest = max(self.live, default=0) if self.report.migrated else self.highest
 
-    def settle_acceptances(self, names: dict[str, int], acceptances: Acceptances) -> None:
+    def settle_acceptances(self, names: dict[str, int], answer_tracker: AnswerTracker) -> None:
         """What nobody was told of is dropped, what is in doubt stays until its refusal is told."""
         if ANSWERS in names:
             self.marks = read_marks(self.files.read(ANSWERS), self.identity)
-        settled = acceptances.settle(self.live, self.marks, self.boot)
-        self.dropped = [self.live[number] for number in settled.unanswered]
-        for kept in self.dropped:
-            self.drop(kept.number)
-        self.in_doubt = settled.in_doubt
-        self.unanswered |= set(settled.in_doubt)
+        unanswered_messages = answer_tracker.classify(self.live, self.marks, self.boot)
+        self.dropped = [self.live[number] for number in unanswered_messages.unanswered]
+        for entry in self.dropped:
+            self.drop(entry.number)
+        self.in_doubt = unanswered_messages.in_doubt
+        self.unanswered |= set(unanswered_messages.in_doubt)
         if self.marks is not None:
             self.highest = max(self.highest, self.marks.answering)
 
@@ -749,41 +763,41 @@
                 self.report.lost,
                 self.report.damaged,
                 len(self.report.unreadable),
-                self.report.doubted,
+                self.report.possibly_run,
             )
         if legacy.NAME in names:
-            self.carry_over(names)
+            self.migrate_legacy(names)
         if not self.identity:
             self.identity = os.urandom(16)
         if self.sync is not Sync.NONE:
             for segment in self.segments:  # an earlier process may have been killed before its sync
                 self.files.sync_name(segment.name)
-                segment.safe, segment.named = segment.size, True
+                segment.durable_bytes, segment.name_durable = segment.size, True
             self.files.sync_folder()
         for segment in [s for s in self.segments if s.size < form.HEADER_SIZE]:
             self.files.unlink(segment.name)
             self.used -= allocated_size(segment.size)
             self.segments.remove(segment)
-        for kept in self.dropped:  # before any later answer, behind which they would count as answered
-            self.note(kept.number, form.END, form.NUMBER.pack(kept.number))
+        for entry in self.dropped:  # before any later answer, behind which they would count as answered
+            self.append_record(entry.number, form.END, form.NUMBER.pack(entry.number))
         if self.dropped:
             try:
                 self.flush()
             except OSError as error:
                 log.error("the journal cannot be written: %s", error)
         self.open_answers()
-        self.tend()
+        self.maintain()
 
-    def carry_over(self, names: dict[str, int]) -> None:
+    def migrate_legacy(self, names: dict[str, int]) -> None:
         """Bring the JSON journal over: its file goes last, and until then it alone counts."""
         for name in (n for n in names if n.startswith(PREFIX)):
             self.files.unlink(name)
             self.used -= allocated_size(names[name])
         self.identity = os.urandom(16)
         for endpoint in self.cold:
-            self.note_cold(endpoint)
-        for kept in self.live.values():
-            self.note(kept.number, form.MESSAGE, form.message_payload(kept))
+            self.append_cold(endpoint)
+        for entry in self.live.values():
+            self.append_record(entry.number, form.MESSAGE, form.message_payload(entry))
         if self.pending:
             self.write_pending()
         if self.sync is not Sync.NONE:
@@ -794,4 +808,4 @@
 
     def entries(self) -> list[JournalEntry]:
         """What is live, in the order of taking: `live` has what compaction copied behind the rest."""
-        return sorted(self.live.values(), key=lambda kept: kept.number)
+        return sorted(self.live.values(), key=lambda entry: entry.number)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -8,24 +8,24 @@
 from rushhitch.journal import format as form
 from rushhitch.journal.answers import NAME, SIZE, Answered, Marks, content, read_marks
 from rushhitch.journal.files import Files
-from rushhitch.journal.store import RETRY_RESERVE_S
+from rushhitch.journal.store import RESERVE_RETRY_S
 
 BOOT = "this run"
 
 
-def kept(number):
+def entry(number):
     return JournalEntry(number, b"m%d" % number, "pay", 7, 2e9, b"a body", accepted_at=1.9e9)
 
 
-def opened(folder, boot=BOOT, **told):
-    return Journal(folder, 1e6, boot=boot, **told)
+def open_journal(folder, boot=BOOT, **options):
+    return Journal(folder, 1e6, boot=boot, **options)
 
 
-def recorded(folder, answered, answering=0, count=4):
+def killed_after_answers(folder, answered, answering=0, count=4):
     """A process that recorded so many messages and was killed behind that answer, or within the next one."""
-    journal = opened(folder)
+    journal = open_journal(folder)
     for number in range(1, count + 1):
-        journal.record_received(kept(number))
+        journal.record_received(entry(number))
     journal.flush()
     for number in range(1, answered + 1):
         journal.begin_answer(number)
@@ -57,41 +57,41 @@
 def test_a_start_keeps_what_was_answered_drops_what_was_not_and_tells_what_is_in_doubt(
     tmp_path, answered, answering, live, in_doubt
 ):
-    recorded(tmp_path, answered, answering)
+    killed_after_answers(tmp_path, answered, answering)
     for _ in range(3):  # a start that is killed at once changes nothing of it
-        journal = opened(tmp_path)
+        journal = open_journal(tmp_path)
         assert (sorted(journal.live), journal.in_doubt) == (live, in_doubt)
         assert journal.highest >= max([*live, answered, answering]), "a number would be used twice"
         journal.close()
 
 
 def test_what_is_in_doubt_stays_so_until_its_refusal_is_recorded(tmp_path):
-    recorded(tmp_path, 1, 2)
-    journal = opened(tmp_path)
-    journal.record_received(kept(9))
+    killed_after_answers(tmp_path, 1, 2)
+    journal = open_journal(tmp_path)
+    journal.record_received(entry(9))
     journal.record_notice(2, "bounced", 500.0)
     journal.begin_answer(9)  # the refusal goes first
     journal.finish_answer(9)
     journal.close()
-    journal = opened(tmp_path)
+    journal = open_journal(tmp_path)
     assert journal.in_doubt == [] and journal.live[2].notice == ("bounced", 500.0) and 9 in journal.live
 
 
 def test_an_end_goes_to_the_disk_before_a_later_answer_is_begun(tmp_path):
     # Guards against a refused message that counts as answered, since a later one was.
-    journal = opened(tmp_path)
+    journal = open_journal(tmp_path)
     for number in (1, 2):
-        journal.record_received(kept(number))
+        journal.record_received(entry(number))
     journal.flush()
     journal.record_end(1)  # its client was refused
     journal.begin_answer(2)
     journal.close()
-    assert sorted(opened(tmp_path, writable=False).live) == [2]
+    assert sorted(open_journal(tmp_path, writable=False).live) == [2]
 
 
 @pytest.mark.parametrize("lost", ["lost", "damaged", "another run of the machine", "a run that is not known"])
 def test_without_marks_to_go_by_all_that_was_recorded_early_is_in_doubt(tmp_path, lost):
-    recorded(tmp_path, 2, 3)
+    killed_after_answers(tmp_path, 2, 3)
     boot, answered = BOOT, [1, 2]
     if lost == "lost":
         (tmp_path / NAME).unlink()
@@ -103,19 +103,19 @@
         boot = "another" if lost == "another run of the machine" else ""
     rest = [number for number in (1, 2, 3, 4) if number not in answered]
     for _ in range(2):
-        journal = opened(tmp_path, boot)
+        journal = open_journal(tmp_path, boot)
         assert (sorted(journal.live), journal.in_doubt) == ([1, 2, 3, 4], rest)
         journal.close()
 
 
 def test_compaction_keeps_what_is_known_of_an_answer(tmp_path):
-    recorded(tmp_path, 1, 2)
-    journal = opened(tmp_path)
+    killed_after_answers(tmp_path, 1, 2)
+    journal = open_journal(tmp_path)
     journal.roll()
     journal.step()  # copies of both, the one in doubt still flagged
-    journal.unlink_dead()
+    journal.remove_dead_segments()
     journal.close()
-    journal = opened(tmp_path)
+    journal = open_journal(tmp_path)
     assert (sorted(journal.live), journal.in_doubt) == ([1, 2], [2])
 
 
@@ -132,29 +132,29 @@
     journal = Journal(tmp_path, 1e6, clock=lambda: now[0], boot=BOOT)
     assert not journal.has_room(10)
     failing[0] = False
-    now[0] += RETRY_RESERVE_S
+    now[0] += RESERVE_RETRY_S
     assert journal.has_room(10)
-    journal.record_received(kept(1))
+    journal.record_received(entry(1))
     failing[0] = True
     with pytest.raises(OSError):
         journal.begin_answer(1)
     failing[0] = False
     journal.close()
-    assert not opened(tmp_path, writable=False).live, "nobody was told of it"
+    assert not open_journal(tmp_path, writable=False).live, "nobody was told of it"
 
 
 def test_a_message_whose_answer_is_to_come_differs_in_one_flag_that_earlier_builds_pass_over():
-    plain, early = (form.message_payload(kept(1), early) for early in (False, True))
+    plain, early = (form.message_payload(entry(1), early) for early in (False, True))
     differ = [(one, other) for one, other in zip(plain, early, strict=True) if one != other]
-    assert differ == [(0, form.EARLY)]
+    assert differ == [(0, form.UNANSWERED)]
     assert form.read_message(early, {}) == form.read_message(plain, {})
-    assert form.is_early(early) and not form.is_early(plain)
+    assert form.is_unanswered(early) and not form.is_unanswered(plain)
 
 
 def test_segments_without_syncs_stay_of_the_version_that_earlier_builds_read(tmp_path):
-    recorded(tmp_path, 2, 3)
+    killed_after_answers(tmp_path, 2, 3)
     (segment,) = sorted(tmp_path.glob("segment-*"))
     data = segment.read_bytes()
-    assert form.HEADER.unpack_from(data)[1] == form.VERSION_WITHOUT_OFFERS
+    assert form.HEADER.unpack_from(data)[1] == form.VERSION_WITHOUT_RECEIVED
     kinds = {kind for _, kind, _ in form.records(data, form.Scan())}
     assert kinds == {form.MESSAGE}
--- a/tests/test_journal_cli.py
+++ b/tests/test_journal_cli.py
@@ -30,12 +30,12 @@
     journal.record_cold("e2", 2.5)
     journal.flush()
     assert main(["journal", "inspect", str(tmp_path)]) == 0, "it works beside a running dispatcher"
-    told = capsys.readouterr().out
-    lines = {line.split()[0]: line for line in told.splitlines()[1:4]}
+    output = capsys.readouterr().out
+    lines = {line.split()[0]: line for line in output.splitlines()[1:4]}
     assert "out at e1 for" in lines["1"] and "its end" in lines["1"]
     assert "1x, proven not to have run" in lines["2"]
     assert "notice bounced, come back after 300 ms" in lines["3"]
-    assert "3 live messages; 1 segments" in told and "cold: e2, took 2.50 calls a second" in told
+    assert "3 live messages; 1 segments" in output and "cold: e2, took 2.50 calls a second" in output
     journal.close()
 
 
@@ -50,8 +50,8 @@
     assert "torn ends" in capsys.readouterr().out
     path.write_bytes(data.replace(b"m2", b"m9"))
     assert main(["journal", "verify", str(tmp_path)]) == 1
-    told = capsys.readouterr().out
-    assert "1 records are lost" in told and "DAMAGED" in told
+    output = capsys.readouterr().out
+    assert "1 records are lost" in output and "DAMAGED" in output
     assert path.read_bytes() == data.replace(b"m2", b"m9"), "verify changes nothing"
 
 
--- a/tests/test_journal_crash.py
+++ b/tests/test_journal_crash.py
@@ -298,7 +298,7 @@
         assert all(outside.answers[name] == 1 for name in outside.offered)
         outside.time.run(2.0)
         assert before <= outside.delivered | set(outside.told) | set(
-            kept.id for kept in life.journal.live.values()
+            entry.id for entry in life.journal.live.values()
         )
         files.room = 2 * DISK
         outside.time.run(2.0)
@@ -341,7 +341,7 @@
         if number == 2:
             journal.roll()
     journal.step()
-    journal.unlink_dead()
+    journal.remove_dead_segments()
     journal.close()
     arrived, handle = [], Dispatcher.handle
 
@@ -370,7 +370,7 @@
         life = SimulatedProcess(outside, CountingFiles(tmp_path, DISK), 2)
         life.offer(b"m5", "note", b"second")
         outside.time.run(0.02)
-        assert [kept.body for kept in life.journal.live.values()] == [b"second"]
+        assert [entry.body for entry in life.journal.live.values()] == [b"second"]
         life.files.die()
         outside.killed()
         ends(outside, tmp_path)
--- a/tests/test_journal_sync.py
+++ b/tests/test_journal_sync.py
@@ -15,7 +15,7 @@
 DISK = 24_000.0
 
 
-def kept(number, body=b"a body"):
+def entry(number, body=b"a body"):
     return JournalEntry(number, b"m%d" % number, "pay", 7, 1_900_000_000.0, body, accepted_at=1_800_000_000.0)
 
 
@@ -97,7 +97,7 @@
 def test_an_offer_that_was_not_accepted_is_dropped_after_a_kill_and_in_doubt_after_a_power_cut(tmp_path):
     journal = Journal(tmp_path, 1e6, Sync.BATCH, boot="one")
     for number in (1, 2, 3):
-        journal.record_received(kept(number))
+        journal.record_received(entry(number))
     journal.flush()
     journal.begin_answer(1)
     journal.finish_answer(1)
@@ -124,7 +124,7 @@
         journal = Journal(folder, DISK, Sync.BATCH, files)
         promised: dict[int, bool] = {}  # by number: is it live
         for number in range(seed % 50 + 5):
-            journal.record_accepted(kept(number, bytes(300)))
+            journal.record_accepted(entry(number, bytes(300)))
             noted = {number: True}
             if number >= 8:
                 journal.record_end(number - 8)
@@ -135,14 +135,14 @@
                 assert group is not None
                 if number % 3 == 1:
                     journal.record_accepted(
-                        kept(1000 + number, bytes(900))
+                        entry(1000 + number, bytes(900))
                     )  # more comes while the group is at work
                     journal.flush()
                     journal.record_end(1000 + number)
                     journal.flush()
                 group.run()
                 group.done()
-                journal.tend()
+                journal.maintain()
                 promised |= noted
             else:
                 promised.pop(number - 8, None)
@@ -159,13 +159,13 @@
     # Its attempt was not told as down, so it was not sent: after the cut it is still safe to send.
     files = PowerCutFiles(tmp_path)
     journal = Journal(tmp_path, 1e6, Sync.BATCH, files)
-    journal.record_accepted(kept(1))
+    journal.record_accepted(entry(1))
     journal.flush()
     group = journal.sync_group()
     group.run()
     group.done()
     for number in range(2, 40):
-        journal.record_accepted(kept(number))
+        journal.record_accepted(entry(number))
         journal.flush()
     for seed in range(30):
         files.cut(seed)
@@ -186,10 +186,10 @@
         journal.files.sync = watched
         ready = asyncio.Event()
         for number in range(5):
-            journal.record_accepted(kept(number))
+            journal.record_accepted(entry(number))
             committer.commit(lambda: order.append("told"), lambda: order.append("failed"))
         assert order == [], "told before the sync"
-        journal.record_accepted(kept(9))
+        journal.record_accepted(entry(9))
         committer.commit(ready.set, ready.set)
         await asyncio.wait_for(ready.wait(), 10)
         assert order[0] == "synced" and order.count("told") == 5 and order.count("synced") <= 2
@@ -204,13 +204,13 @@
     async def work():
         files = PowerCutFiles(tmp_path)
         journal = Journal(tmp_path, 1e6, Sync.BATCH, files)
-        committer, told = Committer(journal), asyncio.Queue()
+        committer, results = Committer(journal), asyncio.Queue()
 
         async def commit():
-            committer.commit(lambda: told.put_nowait("done"), lambda: told.put_nowait("failed"))
-            return await asyncio.wait_for(told.get(), 10)
+            committer.commit(lambda: results.put_nowait("done"), lambda: results.put_nowait("failed"))
+            return await asyncio.wait_for(results.get(), 10)
 
-        journal.record_accepted(kept(1))
+        journal.record_accepted(entry(1))
         assert await commit() == "done"
         sync = files.sync
 
@@ -219,7 +219,7 @@
             raise OSError(errno.EIO, "the disk is broken")
 
         files.sync = broken
-        journal.record_accepted(kept(2))
+        journal.record_accepted(entry(2))
         assert await commit() == "failed"
         assert journal.has_unwritten_records and not journal.has_room(1)
         files.sync = sync
@@ -238,7 +238,7 @@
     with pytest.raises(Crash):
         journal = Journal(tmp_path, 1e6, sync, files)
         for number in range(20):
-            journal.record_accepted(kept(number))
+            journal.record_accepted(entry(number))
             journal.flush()
     files.die()
     power = PowerCutFiles(tmp_path)
