--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -1,8 +1,8 @@
-"""The journal at work: what is live, the segments it stands in, and the way from one to the other.
+"""The journal: live messages, the segments that hold their records, writing, syncing and compaction.
 
-Nothing is on disk before `flush`. What a flush could not write stays noted, in order, and goes first at the
-next one, so that the disk always holds a prefix of what happened. Compaction drops the oldest segment once
-each live message of it was written anew at the end of the journal; a bit of that is done beside each flush.
+Nothing is on disk before `flush`. Records that a flush could not write stay pending, in order, and are
+written first by the next one, so the disk always holds a prefix of the history. Compaction copies the live
+messages of the oldest segment to the end of the journal and then removes it, in small steps with each flush.
 """
 
 from __future__ import annotations
@@ -34,19 +34,18 @@
 log = logging.getLogger(__name__)
 
 LOCK, RESERVE, DAMAGED_PREFIX = "lock", "reserve", "damaged-"
-MAX_COPIES_PER_STEP = 128  # copied forward beside one flush at most: well under a millisecond
-MAX_COPIED_BYTES_PER_STEP = 131_072  # likewise, of bodies
-MAX_SEGMENT_RECORDS = 4_096  # a segment ends with so many: what is given back is not left to small records
-MAX_REPLAY_RECORDS = (
-    8_192  # beyond so many, and `MAX_REPLAY_RECORDS_PER_ENTRY` for each live message, a start reads too much
-)
-MAX_REPLAY_RECORDS_PER_ENTRY = 4  # a copy forward for every third record at most
-MAX_UNLINKS_PER_FLUSH = 2  # beside one flush at most: each takes up to a millisecond
-RESERVE_RETRY_S = 1.0  # between two tries to take the reserve back from a disk that was full
+MAX_COPIES_PER_STEP = 128  # copied forward per flush; takes well under a millisecond
+MAX_COPIED_BYTES_PER_STEP = 131_072  # of message bodies
+MAX_SEGMENT_RECORDS = 4_096  # also bounds segments of small records, so that they are given back
+# Compaction keeps the records that a start replays below the sum of these, so that a start stays short.
+MAX_REPLAY_RECORDS = 8_192
+MAX_REPLAY_RECORDS_PER_ENTRY = 4  # per live message: at most one copy forward per three records
+MAX_UNLINKS_PER_FLUSH = 2  # each takes up to a millisecond
+RESERVE_RETRY_S = 1.0  # between attempts to allocate the reserve, or the answer file, on a full disk
 
 
 class Sync(Enum):
-    """What an answer promises: that a message outlasts the process, or the machine's power as well."""
+    """Durability promised by an answer: against a process crash (`NONE`), or a power failure as well."""
 
     NONE = "none"
     BATCH = "batch"
@@ -55,14 +54,14 @@
 
 @dataclass(slots=True)
 class SyncGroup:
-    """Flushed bytes on their way to being safe."""
+    """A group of flushed bytes to be synced."""
 
     journal: Journal
-    parts: list[tuple[Segment, int, int]]  # with a descriptor of its own, and the bytes that are made safe
+    parts: list[tuple[Segment, int, int]]  # segment, duplicate descriptor, size in bytes to sync
     folder: bool
 
     def run(self) -> None:
-        """Wait for the disk; an `OSError` where it fails. In any thread, once."""
+        """Sync, in any thread, once. Raises `OSError` if the disk fails."""
         files = self.journal.files
         try:
             for _, fd, _ in self.parts:
@@ -74,7 +73,7 @@
                 files.close(fd)
 
     def done(self) -> None:
-        """In the thread of the journal, after `run` came back."""
+        """Mark the bytes as durable; called in the journal's thread after `run` has returned."""
         for segment, _, size in self.parts:
             segment.durable_bytes, segment.name_durable = max(segment.durable_bytes, size), True
             if segment.sealed:
@@ -84,11 +83,11 @@
 
 
 class Journal:
-    """What is live (`live`, by number; `cold`, by endpoint) and the files from which a later process learns
-    the same. `disk_bytes` is what the folder may hold; `lock`, a descriptor by which another process has held
-    the folder for us. A `JournalError` where the folder cannot be used: it
-    is held by another process, or of a newer version; an `OSError` where the disk fails. `boot` names the run
-    of the machine, where another than the present one is meant."""
+    """The live messages (`live`, by number), the cold endpoints (`cold`), and the files to recover both from.
+
+    `disk_bytes` limits the size of the folder. `lock` is the descriptor of a lock taken over from another
+    process, `boot` replaces the boot id of the machine. Raises `JournalError` if another process holds the
+    folder or a newer version wrote it, `OSError` if the disk fails."""
 
     def __init__(
         self,
@@ -107,35 +106,35 @@
         self.space, self.sync, self.clock = Space(disk_bytes), sync, clock
         self.boot = form.boot_mark(boot_id() if boot is None else boot)
         self.live: dict[int, JournalEntry] = {}
-        self.unanswered: set[int] = set()  # of `live`: recorded, and not known to have been answered
-        self.in_doubt: list[int] = []  # of these, as replay left them: their clients may have been answered
-        self.marks: Marks | None = None  # what the answer file said at the start
+        self.unanswered: set[int] = set()  # in `live`: recorded, but not known to have been answered
+        self.in_doubt: list[int] = []  # of these, after replay: their clients may have been answered
+        self.marks: Marks | None = None  # content of the answer file at the start
         self.answers = AnswerFile(self.files)
-        self.answers_due = -float("inf")  # the next try to make that file
-        self.cold: dict[str, float] = {}  # endpoints in or after an outage, and the pace they took before
-        self.cold_homes: dict[str, Segment] = {}
+        self.answers_due = -float("inf")  # earliest time of the next attempt to create that file
+        self.cold: dict[str, float] = {}  # calls per second before an outage, by endpoint in or after one
+        self.cold_segments: dict[str, Segment] = {}
         self.live_bytes = 0
-        self.highest = 0  # number ever used, as far as the files tell
+        self.highest = 0  # message number ever used, as far as the files record
         self.identity = b""
         self.segments: list[Segment] = []
-        self.used = 0  # bytes of all files, in whole blocks
-        self.sequence = 0  # of the next record that is noted
-        self.last_copy: tuple[Segment, int] | None = None  # where the newest copies of compaction end
-        self.folder_unsynced = False  # a segment was, and the folder is not synced yet
-        self.pending: list[tuple[int, int, str, bytes]] = []  # noted, not written: message, type, endpoint
+        self.used = 0  # bytes of all files, in whole blocks of `BLOCK`
+        self.sequence = 0  # of the next record
+        self.last_copy: tuple[Segment, int] | None = None  # where the newest copy by compaction ends
+        self.folder_unsynced = False  # a segment was unlinked since the folder was synced
+        self.pending: list[tuple[int, int, str, bytes]] = []  # message, kind, endpoint, record
         self.pending_size = 0
-        self.write_failing = False  # the disk did not take what was noted
+        self.write_failing = False  # the last write failed
         self.reserve = 0
         self.reserve_due = -float("inf")
-        self.dropped: list[JournalEntry] = []  # by replay, since nobody was told that they are accepted
-        self.damaged_files: dict[str, int] = {}  # damaged files that were set aside, in whole blocks
+        self.dropped: list[JournalEntry] = []  # by replay: their clients were never answered
+        self.damaged_files: dict[str, int] = {}  # allocated sizes of damaged segments kept for inspection
         self.report = ReplayReport()
         if writable and not self.files.lock(LOCK):
             raise FolderInUseError(
                 f"{folder} is held by another process: stop that one first, or use another folder"
             )
         collects = gc.isenabled()
-        gc.disable()  # many new objects, none of them garbage, would be gone through again and again
+        gc.disable()  # replay creates many objects, none garbage, that each collection would traverse
         try:
             self.replay()
             if writable:
@@ -148,13 +147,13 @@
                 gc.enable()
 
     def close(self) -> None:
-        """Give the folder back; what was not flushed is not written."""
+        """Release the folder. Records not flushed are lost."""
         self.close_segments()
         self.files.unlock()
 
     def hand_over(self) -> int:
-        """Write nothing more. The descriptor that holds the folder, for the process that goes on: while it
-        is open anywhere, nobody else can take the folder."""
+        """Stop writing and return the descriptor of the lock, for the successor process. While it is open
+        in any process, no other one can take the folder."""
         self.close_segments()
         fd, self.files.lock_fd = self.files.lock_fd, -1
         return fd
@@ -166,7 +165,7 @@
                 fd, segment.fd = segment.fd, -1
                 self.files.close(fd)
 
-    # What can happen to a message. Nothing is on disk before `flush`.
+    # Events of a message. Nothing is on disk before `flush`.
 
     def record_accepted(self, entry: JournalEntry) -> None:
         self.live[entry.number] = entry
@@ -176,7 +175,7 @@
         self.append_record(entry.number, form.MESSAGE, form.message_payload(entry))
 
     def record_received(self, entry: JournalEntry) -> None:
-        """The message came in; its client has no answer yet. After a kill it is dropped."""
+        """Record a message whose client has no answer yet. Replay after a kill drops it."""
         self.unanswered.add(entry.number)
         self.live[entry.number] = entry
         self.live_bytes += self.reserved_bytes(entry)
@@ -184,9 +183,9 @@
         self.append_entry(entry)
 
     def begin_answer(self, number: int) -> None:
-        """The client of a recorded message is about to be told that it is accepted. Raises `OSError` where
-        the disk does not take that: then nobody may be told. What was noted goes first: behind this, all
-        messages before it count as answered but for those that the journal says have ended."""
+        """Record that the client of message `number` is about to be answered. Raises `OSError` if the disk
+        fails: the client must not be answered then. Pending records are written first, since afterwards
+        all lower numbers count as answered, except for those whose end is in the journal."""
         if number in self.unanswered and self.sync is not Sync.NONE:
             self.append_record(number, form.ACCEPTED, form.NUMBER.pack(number))
         if self.pending:
@@ -194,21 +193,21 @@
         self.answers.begin(number)
 
     def finish_answer(self, number: int) -> None:
-        """The whole of that answer is in the system's hands. Without a word of it on the disk the message
-        stays in doubt until the next answer."""
+        """Record that the kernel has taken the whole answer. If that cannot be written, the message stays
+        in doubt until the next answer."""
         try:
             self.answers.done(number)
         except OSError as error:
-            log.error("the journal's answers cannot be written: %s", error)
+            log.error("the journal's answer file cannot be written: %s", error)
         self.unanswered.discard(number)
 
     def append_entry(self, entry: JournalEntry) -> None:
-        """Note all that is known of a live message, in one record."""
-        early = entry.number in self.unanswered
-        if early and self.sync is not Sync.NONE:
+        """Append the whole state of a live message as one record."""
+        unanswered = entry.number in self.unanswered
+        if unanswered and self.sync is not Sync.NONE:
             self.append_record(entry.number, form.RECEIVED, self.boot + form.message_payload(entry))
         else:
-            self.append_record(entry.number, form.MESSAGE, form.message_payload(entry, early))
+            self.append_record(entry.number, form.MESSAGE, form.message_payload(entry, unanswered))
 
     def record_attempt(self, message: int, number: int, endpoint: str, at: float) -> None:
         entry = self.live[message]
@@ -220,12 +219,12 @@
         )
 
     def record_awaiting_ack(self, message: int, number: int) -> None:
-        """The attempt was answered and stays out: an acknowledgement is to come."""
+        """The attempt was answered and stays in flight until its acknowledgement comes."""
         self.live[message].awaiting_ack = number
         self.append_record(message, form.AWAITING_ACK, form.ATTEMPT_KEY.pack(message, number))
 
     def record_not_run(self, message: int, number: int, mark: bytes) -> None:
-        """By an acknowledgement with that mark the attempt never ran."""
+        """An acknowledgement, identified by `mark`, says that the attempt never ran."""
         entry = self.live[message]
         entry.attempt_ended(number, may_have_run=False)
         entry.marks.append(mark)
@@ -236,7 +235,7 @@
         self.append_record(message, form.OUTCOME, form.OUTCOME_HEAD.pack(message, number, may_have_run))
 
     def record_notice(self, message: int, result: str, wait_ms: float) -> None:
-        """The message has ended, and the platform must be told."""
+        """The message has ended; the platform has yet to be notified. It may retry after `wait_ms`."""
         self.ended(self.live[message], result, wait_ms)
         self.append_record(message, form.NOTICE, form.NOTICE_HEAD.pack(message, wait_ms) + result.encode())
 
@@ -246,8 +245,8 @@
         self.live_bytes += self.reserved_bytes(entry)
 
     def record_end(self, message: int) -> None:
-        """Nothing more is owed. What was noted of the message and is in no file will not be written; of one
-        that is in no file at all nothing is."""
+        """Nothing is left to do for the message. Its pending records are discarded; if it is in no file at
+        all, nothing is written."""
         written = self.live[message].segment is not None
         self.drop(message)
         rest = [item for item in self.pending if item[0] != message]
@@ -270,15 +269,15 @@
             entry.segment.live.pop(message, None)
 
     def record_cold(self, endpoint: str, pace_per_s: float) -> None:
-        """The decisions take the endpoint to be cold."""
-        forget_cold(endpoint, self.cold, self.cold_homes)
+        """The endpoint is cold; it took `pace_per_s` calls per second before."""
+        forget_cold(endpoint, self.cold, self.cold_segments)
         self.cold[endpoint] = pace_per_s
         self.append_cold(endpoint)
 
     def record_warm(self, endpoint: str) -> None:
-        """It is warm, or gone."""
+        """The endpoint is warm, or no longer listed."""
         if endpoint in self.cold:
-            forget_cold(endpoint, self.cold, self.cold_homes)
+            forget_cold(endpoint, self.cold, self.cold_segments)
             self.append_record(0, form.WARM, endpoint.encode())
 
     def append_cold(self, endpoint: str) -> None:
@@ -295,11 +294,11 @@
 
     @staticmethod
     def reserved_bytes(entry: JournalEntry) -> int:
-        named = len(entry.tenant) + len(entry.idempotency)
-        return RECORD_ROOM + named + len(entry.body) + len(entry.attributes)
+        identifiers = len(entry.tenant) + len(entry.idempotency)
+        return RECORD_ROOM + identifiers + len(entry.body) + len(entry.attributes)
 
     def has_room(self, body: int) -> bool:
-        """Whether a message with a body of so many bytes may be taken on. Not while the disk is full."""
+        """Whether a message with a body of `body` bytes may be accepted. False while the disk is full."""
         self.allocate_reserve()
         self.open_answers()
         reserved_bytes = RECORD_ROOM + body
@@ -312,14 +311,14 @@
 
     @property
     def has_unwritten_records(self) -> bool:
-        """Something noted is in no file, since the disk did not take it."""
+        """Whether records are pending because a write failed."""
         return self.write_failing and bool(self.pending)
 
     # Writing
 
     def flush(self, sync: bool = True) -> None:
-        """Write what was noted; an `OSError` if the disk does not take all of it. Without `sync` it outlasts
-        the process, whatever the journal promises else."""
+        """Write pending records; raises `OSError` if the disk does not take all of them. Without `sync` they
+        survive only a crash of the process, whatever `Sync` the journal has."""
         if self.pending:
             self.write_pending()
             if sync and self.sync is Sync.ALWAYS:
@@ -337,7 +336,7 @@
             raise
 
     def write_batch(self) -> None:
-        """Write what was noted, as far as it fits the segment."""
+        """Write as many pending records as fit the current segment."""
         pending = self.pending
         segment, fresh = self.writable_segment(len(pending[0][3]))
         size = segment.size + len(fresh) + self.pending_size
@@ -377,7 +376,7 @@
             self.pending_size -= sum(len(item[3]) for item in batch)
 
     def record_location(self, segment: Segment, message: int, endpoint: str, kind: int) -> None:
-        """A record stands in the segment now."""
+        """Note that a full record is now in the segment."""
         if kind == form.MESSAGE or kind == form.RECEIVED:
             if (entry := self.live.get(message)) is not None:
                 if entry.segment is not None:
@@ -386,14 +385,14 @@
                 entry.segment = segment
                 segment.live[message] = None
         elif kind == form.COLD and endpoint in self.cold:
-            if (home := self.cold_homes.get(endpoint)) is not None:
-                home.cold.discard(endpoint)
+            if (previous := self.cold_segments.get(endpoint)) is not None:
+                previous.cold.discard(endpoint)
                 self.last_copy = (segment, segment.size)
-            self.cold_homes[endpoint] = segment
+            self.cold_segments[endpoint] = segment
             segment.cold.add(endpoint)
 
     def writable_segment(self, record: int) -> tuple[Segment, bytes]:
-        """The segment to write a record of so many bytes to, and its header if that has yet to be written."""
+        """The segment for a record of `record` bytes, and its header if that is not written yet."""
         if self.segments:
             last = self.segments[-1]
             if not last.sealed:
@@ -412,7 +411,7 @@
         return form.header(self.identity, segment.number, segment.base, self.sync is not Sync.NONE)
 
     def append(self, segment: Segment, data: bytes) -> int:
-        """Write as much as the disk takes; the segment's size goes up by what it took."""
+        """Write as much as the disk takes and grow the segment by that. Returns the bytes written."""
         size = len(data)
         try:
             written = self.files.write(segment.fd, data)
@@ -431,24 +430,23 @@
         return written
 
     def set_segment_size(self, segment: Segment, size: int) -> None:
-        self.used += (
-            -(-size // BLOCK) - -(-segment.size // BLOCK)
-        ) * BLOCK  # `allocated_size`, at every write
+        # `allocated_size` inlined, since this runs at every write.
+        self.used += (-(-size // BLOCK) - -(-segment.size // BLOCK)) * BLOCK
         segment.size = size
 
     def truncate_segment(self, segment: Segment, size: int) -> None:
-        """Take back the torn end of a write. Where that fails too, the segment is left with it: nothing
-        more is written there, and replay knows a torn end from damage by the sequence numbers."""
+        """Cut off an incomplete write. If that fails too, the segment is sealed as it is: replay tells an
+        incomplete end from damage by the sequence numbers."""
         try:
             self.files.truncate(segment.fd, size)
             self.set_segment_size(segment, size)
         except OSError as error:
-            log.warning("journal: a torn end stays in %s: %s", segment.name, error)
+            log.warning("journal: cannot truncate the incomplete end of %s: %s", segment.name, error)
             self.seal(segment)
         self.remove_headerless(segment)
 
     def remove_headerless(self, segment: Segment) -> None:
-        """A segment that holds no header is of no use, and its number is free."""
+        """Remove a segment without a header; its number may be used again."""
         if segment.size < form.HEADER_SIZE:
             self.set_segment_size(segment, 0)
             self.seal(segment)
@@ -457,17 +455,17 @@
             self.segments.remove(segment)
 
     def seal(self, segment: Segment) -> None:
-        """Nothing more is written there. The file stays open until it is safe, where that is wanted."""
+        """End writing to the segment. With syncs, its descriptor stays open until it is durable."""
         segment.sealed = True
         if segment.fd >= 0 and (self.sync is Sync.NONE or segment.durable_bytes >= segment.size):
             fd, segment.fd = segment.fd, -1
             self.files.close(fd)
 
-    # Sync: after one that failed, nobody knows what the file holds, and a second one that succeeds proves
-    # nothing (fsyncgate, 2018). So all that is live is written anew into another segment.
+    # Sync. After a failed fsync the content of the file is unknown, and a later fsync that succeeds proves
+    # nothing (fsyncgate, 2018). So all live messages are then rewritten into another segment.
 
     def sync_now(self) -> None:
-        """Return once all that was flushed outlasts the machine's power; an `OSError` where it may not."""
+        """Make all flushed records durable; raises `OSError` if that fails."""
         if (group := self.sync_group()) is not None:
             try:
                 group.run()
@@ -477,8 +475,8 @@
             group.done()
 
     def sync_group(self) -> SyncGroup | None:
-        """What was flushed so far, to be made safe; None if it is. Its `run` may go on in another thread
-        beside further flushes. An `OSError` where no descriptor is left: then nothing has changed."""
+        """The flushed bytes that are not durable yet, or None. Its `run` may work in another thread while
+        flushes go on. Raises `OSError`, with nothing changed, if no descriptor is left."""
         due = [s for s in self.segments if s.fd >= 0 and (s.durable_bytes < s.size or not s.name_durable)]
         if not due and not self.folder_unsynced:
             return None
@@ -495,7 +493,7 @@
         )
 
     def rewrite_live_entries(self) -> None:
-        """A sync has failed."""
+        """After a failed sync: seal all segments and append every live entry again."""
         for segment in self.segments:
             segment.sealed = True
             if segment.fd >= 0:
@@ -511,18 +509,18 @@
         log.error("the journal's disk failed to sync: %d live messages are written anew", len(self.live))
 
     def copies_durable(self) -> bool:
-        """Whether all that compaction has copied outlasts the power, as far as that is wanted."""
+        """Whether all copies made by compaction are durable, or need not be."""
         if self.sync is Sync.NONE:
             return True
         return not self.folder_unsynced and (
             self.last_copy is None or self.last_copy[0].durable_bytes >= self.last_copy[1]
         )
 
-    # Relief
+    # Freeing space
 
     def free_space(self) -> None:
-        """The disk is full: give back the reserve, damaged files and segments that hold nothing live, so
-        that outcomes, notices and ends find room."""
+        """The disk is full: delete the reserve, damaged files and segments without live entries, so that
+        outcomes, notices and ends still fit."""
         if self.reserve:
             with contextlib.suppress(OSError):
                 self.files.unlink(RESERVE)
@@ -540,16 +538,16 @@
                 self.used -= self.damaged_files.pop(name)
 
     def make_room(self, size: int) -> None:
-        """Make room for so many bytes under the limit, at the cost of what matters least; an `OSError` where
-        there is none."""
+        """Make room for `size` bytes under the limit: the reserve goes first, then damaged files. Raises
+        `OSError` if that is not enough."""
         if self.reserve:
             self.free_space()
         self.delete_damaged_files()
         if self.used + size > self.space.disk:
-            raise OSError(errno.ENOSPC, "the journal has taken all of its disk_mb")
+            raise OSError(errno.ENOSPC, "the journal has reached its limit, disk_mb")
 
     def allocate_reserve(self) -> None:
-        """Real bytes on the disk, since a file of holes takes no room."""
+        """Create the reserve if it is missing. It is written out, since a sparse file reserves no space."""
         size = self.space.reserve
         if self.reserve == size or self.clock() < self.reserve_due:
             return
@@ -572,7 +570,7 @@
                 self.files.unlink(RESERVE)
 
     def open_answers(self) -> None:
-        """Have the answer file ready, in real bytes; nothing new is taken on without it."""
+        """Open the answer file, fully allocated; nothing is accepted without it."""
         if self.answers.fd >= 0 or self.clock() < self.answers_due:
             return
         self.answers_due = self.clock() + RESERVE_RETRY_S
@@ -583,11 +581,11 @@
             self.answers.open(self.identity, self.initial_marks())
             self.used += ANSWERS_SIZE - allocated_size(size)
         except OSError as error:
-            log.error("the journal's answers cannot be kept, nothing is taken on: %s", error)
+            log.error("the journal's answer file cannot be opened, nothing is accepted: %s", error)
 
     def initial_marks(self) -> Marks:
-        """Those that the file has, if they are of this run of the machine; else such as leave in doubt what
-        is, until its refusal is recorded."""
+        """The marks of the file if they are of this boot; otherwise marks that keep all messages in doubt
+        so until their refusal is recorded."""
         if self.marks is not None and self.marks.boot == self.boot and any(self.boot):
             return self.marks
         oldest = min(self.in_doubt, default=self.highest + 1)
@@ -596,7 +594,7 @@
     # Compaction
 
     def maintain(self) -> None:
-        """A bit of compaction, and the reserve. Never fails: what the disk does not take is tried again."""
+        """Run a step of compaction and restore the reserve. Does not raise: failures are retried later."""
         segments = self.segments
         if len(segments) > 1:
             oldest = segments[0]
@@ -607,8 +605,8 @@
             self.allocate_reserve()
 
     def crowded(self, share: float = 1.0) -> bool:
-        """Whether old segments are to be worked off, as the disk fills or a start would read too much; with a
-        share, whether that is so near."""
+        """Whether compaction is due, since the disk fills or a start would replay too much. A `share` below
+        1.0 asks whether that fraction of the limits is reached."""
         records = self.sequence - self.segments[0].base
         most = MAX_REPLAY_RECORDS + MAX_REPLAY_RECORDS_PER_ENTRY * len(self.live)
         full = (
@@ -631,13 +629,13 @@
                 if not (self.remove_dead_segments() or moved):
                     break
         except OSError as error:
-            log.info("journal: compaction waits: %s", error)
+            log.info("journal: compaction failed, will be retried: %s", error)
             self.free_space()
 
     def step(self) -> bool:
-        """Copy some of the oldest segment's live messages forward, and drop the segment when none is left.
-        A copy is one record with all that is known, so a crash leaves the original, or both, or the copy.
-        False where nothing could be done."""
+        """Copy some live messages of the oldest segment forward; remove the segment when none is left. A copy
+        is one record with the whole state, so a crash leaves the original, both, or the copy. Returns False
+        if nothing could be done."""
         if self.pending or len(self.segments) < 2:
             return False
         oldest = self.segments[0]
@@ -655,14 +653,14 @@
             try:
                 self.write_pending()
             except OSError:
-                self.discard_pending()  # copies only: the originals stand where they stood
+                self.discard_pending()  # only copies: the originals are still in place
                 self.write_failing = False
                 raise
         return self.remove_dead_segments() or moved
 
     def remove_dead_segments(self, most: int = MAX_UNLINKS_PER_FLUSH) -> bool:
-        """Drop segments from the oldest on while they hold nothing live: never one in the middle, since what
-        ended there may have begun in an older one."""
+        """Remove up to `most` segments without live entries, oldest first. A segment in the middle must stay:
+        it may hold the end of a message that begins in an older one."""
         dropped = 0
         while (
             dropped < most
@@ -672,27 +670,26 @@
         ):
             if self.sync is Sync.ALWAYS:
                 self.sync_now()
-            if not self.copies_durable():  # the copies, before the originals go
+            if not self.copies_durable():  # copies must be durable before the originals are removed
                 break
             oldest = self.segments[0]
-            oldest.durable_bytes = oldest.size  # nothing of it is wanted any more
+            oldest.durable_bytes = oldest.size  # needs no sync any more
             self.seal(oldest)
             if oldest.damaged and self.used + oldest.size < self.space.compaction_start_bytes:
                 self.files.rename(oldest.name, DAMAGED_PREFIX + oldest.name)
                 self.damaged_files[DAMAGED_PREFIX + oldest.name] = allocated_size(oldest.size)
-                log.warning("journal: the damaged file is kept as %s", DAMAGED_PREFIX + oldest.name)
+                log.warning("journal: damaged segment kept as %s", DAMAGED_PREFIX + oldest.name)
             else:
                 self.files.unlink(oldest.name)
                 self.used -= allocated_size(oldest.size)
             self.segments.pop(0)
-            self.folder_unsynced = (
-                self.sync is not Sync.NONE
-            )  # or a power cut could bring back this and not the next
+            # Without a folder sync, a power failure could bring back this segment and not the next one.
+            self.folder_unsynced = self.sync is not Sync.NONE
             dropped += 1
         return dropped > 0
 
     def compact(self) -> None:
-        """All of it at once: for the command line, with the dispatcher down."""
+        """Compact completely. Called by the command line while the dispatcher is stopped."""
         if self.segments:
             self.roll()
             first_new_segment = self.segments[-1].number
@@ -702,7 +699,7 @@
             self.remove_dead_segments(len(self.segments))
 
     def roll(self) -> None:
-        """Go on in a new segment."""
+        """Seal the current segment and start a new one."""
         if self.segments:
             self.seal(self.segments[-1])
         segment, fresh = self.writable_segment(0)
@@ -713,7 +710,7 @@
     # Reading
 
     def replay(self) -> None:
-        """Learn what is live from the files; changes nothing."""
+        """Rebuild the state from the files. Read-only."""
         names = self.files.names()
         self.used = sum(allocated_size(size) for size in names.values())
         self.reserve = names.get(RESERVE, 0)
@@ -726,7 +723,7 @@
         else:
             replay = Replay(self.files)
             replay.read(names)
-            self.live, self.cold, self.cold_homes = replay.live, replay.cold, replay.cold_homes
+            self.live, self.cold, self.cold_segments = replay.live, replay.cold, replay.cold_segments
             self.segments, self.identity, self.sequence = replay.segments, replay.identity, replay.sequence
             self.highest, self.report = replay.highest, replay.report
             self.settle_acceptances(names, replay.answer_tracker)
@@ -734,19 +731,19 @@
         self.highest = max(self.live, default=0) if self.report.migrated else self.highest
 
     def settle_acceptances(self, names: dict[str, int], answer_tracker: AnswerTracker) -> None:
-        """What nobody was told of is dropped, what is in doubt stays until its refusal is told."""
+        """Drop messages whose clients were not answered; those in doubt stay until a refusal is recorded."""
         if ANSWERS in names:
             self.marks = read_marks(self.files.read(ANSWERS), self.identity)
-        unanswered_messages = answer_tracker.classify(self.live, self.marks, self.boot)
-        self.dropped = [self.live[number] for number in unanswered_messages.unanswered]
+        classified = answer_tracker.classify(self.live, self.marks, self.boot)
+        self.dropped = [self.live[number] for number in classified.unanswered]
         for entry in self.dropped:
             self.drop(entry.number)
-        self.in_doubt = unanswered_messages.in_doubt
-        self.unanswered |= set(unanswered_messages.in_doubt)
+        self.in_doubt = classified.in_doubt
+        self.unanswered |= set(classified.in_doubt)
         if self.marks is not None:
             self.highest = max(self.highest, self.marks.answering)
 
-    # Recovery: each step may be the last of this life, and the next begins from the start
+    # Recovery. The process may be killed after any step; the next start then recovers from the beginning.
 
     def recover(self) -> None:
         names = self.files.names()
@@ -770,7 +767,7 @@
         if not self.identity:
             self.identity = os.urandom(16)
         if self.sync is not Sync.NONE:
-            for segment in self.segments:  # an earlier process may have been killed before its sync
+            for segment in self.segments:  # the previous process may have been killed before its sync
                 self.files.sync_name(segment.name)
                 segment.durable_bytes, segment.name_durable = segment.size, True
             self.files.sync_folder()
@@ -778,7 +775,7 @@
             self.files.unlink(segment.name)
             self.used -= allocated_size(segment.size)
             self.segments.remove(segment)
-        for entry in self.dropped:  # before any later answer, behind which they would count as answered
+        for entry in self.dropped:  # must precede any later answer, which would make them count as answered
             self.append_record(entry.number, form.END, form.NUMBER.pack(entry.number))
         if self.dropped:
             try:
@@ -789,7 +786,7 @@
         self.maintain()
 
     def migrate_legacy(self, names: dict[str, int]) -> None:
-        """Bring the JSON journal over: its file goes last, and until then it alone counts."""
+        """Migrate the JSON journal. Its file is removed last; until then it alone is authoritative."""
         for name in (n for n in names if n.startswith(PREFIX)):
             self.files.unlink(name)
             self.used -= allocated_size(names[name])
@@ -804,8 +801,8 @@
             self.sync_now()
         self.files.unlink(legacy.NAME)
         self.used -= allocated_size(names[legacy.NAME])
-        log.info("the journal of an earlier build was carried over: %d messages", len(self.live))
+        log.info("migrated the JSON journal of an earlier build: %d messages", len(self.live))
 
     def entries(self) -> list[JournalEntry]:
-        """What is live, in the order of taking: `live` has what compaction copied behind the rest."""
+        """Live entries in order of acceptance. In `live`, entries copied by compaction come last."""
         return sorted(self.live.values(), key=lambda entry: entry.number)
