--- a/rushhitch/journal/format.py
+++ b/rushhitch/journal/format.py
@@ -1,21 +1,21 @@
-"""The journal's bytes on disk, versions 1 and 2: headers, records, and what a damaged file still tells.
+"""On-disk format of the journal, versions 1 and 2: segment headers, records and recovery from damage.
 
-A segment is a file of one header and records:
+A segment is a file of one header followed by records:
 
     header  magic "RHJL", version u16, flags u16 (1: written with syncs), identity 16 bytes,
             segment u64, base u64, CRC-32 of these
     record  length u32 of the payload, checksum u32, sequence u64, type u8, payload
 
-The checksum is the CRC-32 of the payload, begun from the record's sequence and type. All numbers are
-little-endian. Sequence numbers go up by one through all segments of a journal, so that a
-record that is missing shows as a gap. Times are Unix time in seconds. A `MESSAGE` record replaces all that
-was told of its number before: it is written when a message is taken, and again, with its attempts, when
-compaction copies it forward; being one record, such a copy is there as a whole or not at all.
+The checksum is the CRC-32 of the payload, seeded with the record's sequence and type. All numbers are
+little-endian, times are Unix time in seconds. Sequence numbers increase by one across all segments, so a
+missing record shows as a gap. A `MESSAGE` record holds the whole state of a message and replaces all earlier
+records of its number. It is written on acceptance, and again, with the attempts, when compaction copies the
+message forward; as a single record, such a copy is either complete or absent.
 
-A message is recorded before its client is answered. Version 2 adds `RECEIVED` and `ACCEPTED`, for journals that
-sync: an offer is a message, behind a mark of the run of the machine, whose client has no answer yet. Segments
-that are written without syncs have neither, and are of version 1, which an earlier build reads: there, a flag
-of the message says that its answer came later, and the answer file (`answers.py`) which ones did.
+A message is recorded before its client is answered. Version 2 adds `RECEIVED` and `ACCEPTED`, for journals
+that sync: `RECEIVED` is a message whose client has no answer yet, prefixed with a hash of the boot id.
+Segments written without syncs have neither and keep version 1, which earlier builds read: there, a flag of
+a message says that it was recorded before its answer, and the answer file (`answers.py`) if it was answered.
 """
 
 from __future__ import annotations
@@ -36,52 +36,43 @@
 HEADER_SIZE = HEADER.size + CHECKSUM.size
 RECORD = struct.Struct("<IIQB")
 RECORD_SIZE = RECORD.size
-MAX_RECORD_BYTES = 1 << 24  # bytes: no record is longer, a length beyond is damage
+MAX_RECORD_BYTES = 1 << 24  # a greater length is damage
 
 MESSAGE, ATTEMPT, OUTCOME, NOTICE, END, COLD, WARM, AWAITING_ACK, NOT_RUN, RECEIVED, ACCEPTED = range(1, 12)
-KIND_NAMES = (
-    "",
-    "message",
-    "try",
-    "got",
-    "owe",
-    "end",
-    "cold",
-    "warm",
-    "handed",
-    "denied",
-    "offer",
-    "accept",
-)
-COPIED_KINDS = frozenset({MESSAGE, RECEIVED, COLD})  # what compaction copies forward
-BOOT_SIZE = 8  # bytes that mark a run of the machine
-SYNCED = 1  # flag of a segment
-MAY_REPEAT_FLAG, HAS_KEY, HAS_HISTORY, REMEMBER_ID, HAS_ATTRIBUTES = 1, 2, 4, 8, 16  # flags of a message
-UNANSWERED = 32  # likewise: recorded before its client was answered; builds before pass over it
-MESSAGE_HEAD = struct.Struct("<QddqHBBB")  # number, deadline, taken at, destination, attempts, flags, lengths
+KINDS = ("", "message", "try", "got", "owe", "end", "cold", "warm", "handed", "denied", "offer", "accept")
+COPIED_KINDS = frozenset({MESSAGE, RECEIVED, COLD})  # kinds that compaction copies forward
+BOOT_SIZE = 8  # bytes of the hash of a boot id
+SYNCED = 1  # segment flag
+MAY_REPEAT_FLAG, HAS_KEY, HAS_HISTORY, REMEMBER_ID, HAS_ATTRIBUTES = 1, 2, 4, 8, 16  # message flags
+UNANSWERED = 32  # message flag: recorded before its client was answered; earlier builds ignore it
+MESSAGE_HEAD = struct.Struct(
+    "<QddqHBBB"
+)  # number, deadline, accepted at, destination, attempts, flags, lengths
 NUMBER = struct.Struct("<Q")
 ATTEMPT_HEAD = struct.Struct("<QHd")
 OUTCOME_HEAD = struct.Struct("<QHB")
-ATTEMPT_KEY = struct.Struct("<QH")  # an attempt was answered, and is acknowledged later; `NOT_RUN` has a mark
+ATTEMPT_KEY = struct.Struct(
+    "<QH"
+)  # of `AWAITING_ACK` and `NOT_RUN`; the latter adds the mark of the acknowledgement
 NOTICE_HEAD = struct.Struct("<Qd")
 PACE = struct.Struct("<d")
 LENGTH = struct.Struct("<I")
-KEY_SIZE = 16  # bytes: a key has 32 hexadecimal digits at most
+KEY_SIZE = 16  # bytes: a key has at most 32 hexadecimal digits
 
 
 class JournalError(ValueError):
-    """The journal cannot be used as it is; the text says why and what to do. Nothing was changed."""
+    """The journal is unusable; the text gives the cause and the remedy. The folder is unchanged."""
 
 
 class FolderInUseError(JournalError):
-    """Another process holds the folder."""
+    """Another process holds the lock on the folder."""
 
 
 @dataclass(slots=True)
 class JournalEntry:
-    """A message that was taken on and is not over, as far as the journal knows."""
+    """The state of a message that is recorded and not over. Times are Unix time in seconds."""
 
-    number: int  # never used twice while the journal lasts: an id may be, when its first message has ended
+    number: int  # unique in the journal, unlike `id`, which a client may reuse once its message has ended
     id: bytes
     cls: str
     destination: int
@@ -90,22 +81,24 @@
     key: int = 0
     again: bool = False
     attempts: int = 0
-    out: dict[int, tuple[str, float]] = field(default_factory=dict)  # attempts with no outcome: where, when
-    ran: tuple[str, float] | None = None  # the first attempt that had an outcome and may have run
-    notice: tuple[str, float] | None = None  # it has ended; the platform has yet to be told how
+    out: dict[int, tuple[str, float]] = field(
+        default_factory=dict
+    )  # attempts without outcome: endpoint, start
+    ran: tuple[str, float] | None = None  # earliest attempt with an outcome that may have run
+    notice: tuple[str, float] | None = (
+        None  # its end, as result and wait in ms, until the platform has received it
+    )
     accepted_at: float = 0.0
-    remember: bool = False  # its identity outlasts its end: then `notice` may be "delivered" or "failed"
-    attributes: bytes = b""  # of an event, a JSON object
-    awaiting_ack: int | None = None  # the attempt that was answered, of which an acknowledgement is to come
-    marks: list[bytes] = field(default_factory=list)  # of acknowledgements by which an attempt never ran
+    remember: bool = False  # keep the id past the end: `notice` may then be "delivered" or "failed"
+    attributes: bytes = b""  # JSON object, for an event
+    awaiting_ack: int | None = None  # the answered attempt whose acknowledgement is to come
+    marks: list[bytes] = field(default_factory=list)  # of acknowledgements that an attempt never ran
     tenant: str = ""
-    idempotency: bytes = b""  # the key by which its endpoint knows a repeat
-    segment: Any = field(
-        default=None, compare=False, repr=False
-    )  # segment of its newest `MESSAGE` record, or None
+    idempotency: bytes = b""  # key by which the endpoint detects a repeat
+    segment: Any = field(default=None, compare=False, repr=False)  # holds the newest full record, or None
 
     def attempt_ended(self, number: int, may_have_run: bool) -> None:
-        """The outcome of an attempt that was out."""
+        """Apply the outcome of an attempt in flight."""
         location = self.out.pop(number, None)
         if self.awaiting_ack == number:
             self.awaiting_ack = None
@@ -114,7 +107,7 @@
 
     @property
     def first_run(self) -> tuple[str, float] | None:
-        """Where and when it may have run first; an attempt without an outcome may have."""
+        """Endpoint and time of the earliest attempt that may have run; one without an outcome may have."""
         runs = [*self.out.values(), *([self.ran] if self.ran else [])]
         return min(runs, key=itemgetter(1), default=None)
 
@@ -123,12 +116,12 @@
 
 
 def boot_mark(boot: str) -> bytes:
-    """A short mark of a run of the machine; zeros where the system does not tell which it is."""
+    """A short hash of the boot id; zeros where the system has none."""
     return hashlib.blake2b(boot.encode(), digest_size=BOOT_SIZE).digest() if boot else bytes(BOOT_SIZE)
 
 
 def message_payload(entry: JournalEntry, unanswered: bool = False) -> bytes:
-    """All that is known of a message; `unanswered`, while its client has no answer."""
+    """Serialize the whole state of a message; `unanswered` flags that its client has no answer yet."""
     cls, extra = entry.cls.encode(), b""
     flags = (
         (MAY_REPEAT_FLAG if entry.again else 0)
@@ -144,7 +137,7 @@
         tried: list[Any] = [entry.ran, list(entry.out.items()), entry.notice]
         if entry.awaiting_ack is not None or entry.marks or any(named):
             tried += [entry.awaiting_ack, [mark.hex() for mark in entry.marks]]
-        if any(named):  # last, where builds that do not know of them pass over them
+        if any(named):  # last, where builds without these fields ignore them
             tried += named
         history = json.dumps(tried, separators=(",", ":")).encode()
         extra += LENGTH.pack(len(history)) + history
@@ -165,12 +158,12 @@
 
 
 def is_unanswered(payload: bytes) -> bool:
-    """Whether the message of a record had no answer as it was written."""
+    """Whether the client had no answer yet when the record was written."""
     return MESSAGE_HEAD.unpack_from(payload)[5] & UNANSWERED > 0
 
 
 def read_message(payload: bytes, classes: dict[bytes, str]) -> JournalEntry:
-    """The message of a record; `classes` keeps one string for each class's name."""
+    """Deserialize a message; `classes` interns the class names."""
     number, deadline, accepted_at, destination, attempts, flags, id_size, cls_size = MESSAGE_HEAD.unpack_from(
         payload
     )
@@ -231,7 +224,7 @@
 
 
 def record(kind: int, sequence: int, payload: bytes) -> bytes:
-    """One record."""
+    """A record as bytes: its header and the payload."""
     checksum = zlib.crc32(payload, (sequence << 3 | kind) & 0xFFFFFFFF)
     return RECORD.pack(len(payload), checksum, sequence, kind) + payload
 
@@ -244,7 +237,7 @@
 
 @dataclass(slots=True)
 class Header:
-    """What a segment's header tells."""
+    """A decoded segment header."""
 
     identity: bytes
     segment: int
@@ -253,7 +246,7 @@
 
 
 def read_header(data: bytes, name: str) -> Header | None:
-    """The header of a segment; None where it is torn or damaged. A `JournalError` for a newer version."""
+    """The header of a segment; None if it is torn or damaged. Raises `JournalError` for a newer version."""
     if len(data) < HEADER_SIZE:
         return None
     magic, version, flags, identity, segment, base = HEADER.unpack_from(data)
@@ -270,24 +263,24 @@
 
 @dataclass(slots=True)
 class Scan:
-    """How the reading of a segment went."""
+    """Result of scanning a segment, in bytes."""
 
-    valid_bytes: int = 0  # bytes up to the end of the last record
-    torn: int = 0  # bytes at the end that make no whole record
-    damaged: int = 0  # bytes before the last record that make none
+    valid_bytes: int = 0  # up to the end of the last whole record
+    torn: int = 0  # after it
+    damaged: int = 0  # before it, but part of no whole record
 
 
 def records(data: bytes, scan: Scan) -> Iterator[tuple[int, int, bytes]]:
-    """The records of a segment as sequence, type and payload. Past damage it goes on at the next whole
-    record; `scan` tells afterwards what was left out."""
+    """Yield the sequence, type and payload of each record. Damage is skipped up to the next whole record;
+    `scan` then has the number of bytes skipped."""
     at, size = HEADER_SIZE, len(data)
     crc32, unpack = zlib.crc32, RECORD.unpack_from
     scan.valid_bytes = at
-    least = 0  # sequence numbers only go up: what looks like an older record is part of some body
+    least = 0  # sequences only increase: what looks like an older record is part of a body
     while at + RECORD_SIZE <= size:
         length, checksum, sequence, kind = unpack(data, at)
         end = at + RECORD_SIZE + length
-        if length <= MAX_RECORD_BYTES and end <= size and sequence >= least and 0 < kind < len(KIND_NAMES):
+        if length <= MAX_RECORD_BYTES and end <= size and sequence >= least and 0 < kind < len(KINDS):
             payload = data[at + RECORD_SIZE : end]
             if crc32(payload, (sequence << 3 | kind) & 0xFFFFFFFF) == checksum:
                 if at > scan.valid_bytes:
