--- a/rushhitch/journal/replay.py
+++ b/rushhitch/journal/replay.py
@@ -1,4 +1,4 @@
-"""Reading a journal: what its segments tell of messages and endpoints. Changes nothing on the disk."""
+"""Replays a journal: rebuilds the state of messages and endpoints from its segments. Read-only."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclass(slots=True)
 class ReplayReport:
-    """What replay found."""
+    """Statistics and damage found by a replay."""
 
     records: int = 0
-    torn: int = 0  # bytes at the end of segments that make no whole record
-    damaged: int = 0  # bytes elsewhere that make none
-    lost: int = 0  # records that are missing by their sequence numbers
-    unreadable: list[str] = field(default_factory=list)  # segments whose header is damaged
-    possibly_run: int = 0  # live messages that may have lost an attempt: they count as possibly run
-    migrated: int = 0  # messages that came over from the JSON journal
+    torn: int = 0  # bytes of incomplete records at the ends of segments
+    damaged: int = 0  # bytes elsewhere that belong to no record
+    lost: int = 0  # records missing from the sequence
+    unreadable: list[str] = field(default_factory=list)  # segments with a damaged header
+    possibly_run: int = 0  # live messages that may have lost an attempt record, so they count as possibly run
+    migrated: int = 0  # messages migrated from the JSON journal
 
     @property
     def clean(self) -> bool:
@@ -29,22 +29,23 @@
 
 
 class Replay:
-    """Follows the records of a journal, segment by segment, in their order."""
+    """Applies the records of a journal in order, segment by segment."""
 
     def __init__(self, files: Files) -> None:
         self.files = files
         self.live: dict[int, JournalEntry] = {}
         self.cold: dict[str, float] = {}
-        self.cold_homes: dict[str, Segment] = {}
+        self.cold_segments: dict[str, Segment] = {}
         self.segments: list[Segment] = []
         self.identity = b""
-        self.sequence = 0  # of the record that comes next
-        self.highest = 0  # number of a message
+        self.sequence = 0  # of the next record
+        self.highest = 0  # message number seen
         self.answer_tracker = AnswerTracker()
         self.report = ReplayReport()
 
     def read(self, names: dict[str, int]) -> None:
-        """Follow all segments, whose names and sizes these are. A `JournalError` where they make none."""
+        """Replay all segments among `names` (sizes in bytes by file name). Raises `JournalError` if they are
+        of different journals or of a newer version."""
         expected: int | None = None
         classes: dict[bytes, str] = {}
         found = sorted(n for n in names if n.startswith(PREFIX) and n.endswith(SUFFIX))
@@ -55,9 +56,9 @@
             segment = Segment(number, header.base if header else 0, names[name])
             self.segments.append(segment)
             if header is None:
-                if len(data) >= form.HEADER_SIZE:  # shorter, and its making was cut off
+                if len(data) >= form.HEADER_SIZE:  # a shorter file was still being created
                     self.report.unreadable.append(name)
-                    segment.damaged, segment.base = True, expected or 0  # as it follows from the one before
+                    segment.damaged, segment.base = True, expected or 0  # continues the segment before it
                     after = self.read_segment(segment, data, expected, classes)
                     expected = after if expected is not None else None
                 continue
@@ -79,15 +80,15 @@
         synced: bool = False,
         last: bool = False,
     ) -> int:
-        """Follow one segment; the sequence number that comes next."""
+        """Replay one segment; returns the next expected sequence number."""
         scan, base = form.Scan(), segment.base
         if expected is None:
-            expected = base  # older segments were dropped
+            expected = base  # older segments were removed
         if base != expected:
             self.gap(segment, base - expected)
             expected = base
-        # With syncs, what is missing at the end of the last segment had not been synced when the power went:
-        # nothing that depended on it was done, and no message may have run unseen.
+        # With syncs, records missing at the end of the last segment were not yet synced at the power failure.
+        # Nothing that depends on them was done, so no message can have run without a record.
         unsynced = synced and last
         for sequence, kind, payload in form.records(data, scan):
             if sequence != expected and not unsynced:
@@ -102,7 +103,7 @@
         return expected
 
     def gap(self, segment: Segment, missing: int) -> None:
-        """Records are lost. An attempt may have been among them: what was live may have run."""
+        """Account for lost records. One may have been an attempt, so each live message may have run."""
         segment.damaged = True
         self.answer_tracker.records_lost()
         self.report.lost += max(missing, 1)
@@ -114,7 +115,8 @@
                 entry.attempts = max(entry.attempts, 1)
 
     def apply(self, segment: Segment, kind: int, payload: bytes, classes: dict[bytes, str]) -> None:
-        """Follow one record. Of a message that is not known only its end is left: its start was dropped."""
+        """Apply one record. Those of unknown messages are ignored: the message has ended, and its start was
+        in a segment that is gone."""
         if kind == form.ACCEPTED:
             self.answer_tracker.message_accepted(form.NUMBER.unpack(payload)[0])
             return
@@ -137,12 +139,12 @@
             return
         if kind == form.COLD:
             endpoint = payload[form.PACE.size :].decode()
-            forget_cold(endpoint, self.cold, self.cold_homes)
-            self.cold[endpoint], self.cold_homes[endpoint] = form.PACE.unpack_from(payload)[0], segment
+            forget_cold(endpoint, self.cold, self.cold_segments)
+            self.cold[endpoint], self.cold_segments[endpoint] = form.PACE.unpack_from(payload)[0], segment
             segment.cold.add(endpoint)
             return
         if kind == form.WARM:
-            forget_cold(payload.decode(), self.cold, self.cold_homes)
+            forget_cold(payload.decode(), self.cold, self.cold_segments)
             return
         entry = self.live.get(form.NUMBER.unpack_from(payload)[0])
         if entry is None:
