--- a/rushhitch/journal/answers.py
+++ b/rushhitch/journal/answers.py
@@ -1,13 +1,13 @@
-"""Which recorded messages have had their answers: two numbers in a small file, overwritten in place.
+"""The answer file: two numbers, overwritten in place, that say which recorded messages were answered.
 
-A message is recorded before its client is answered, and answers go out in the order of the numbers. Around
-each answer the file says so: before it `(number - 1, number)`, behind it `(number, number)`. A process that
-is killed between leaves the one message in doubt whose answer was being written; what is above it was never
-answered, what is below it was, or its end is in the journal.
+A message is recorded before its client is answered, and answers go out in the order of the numbers. The file
+is updated around each answer: before it to `(number - 1, number)`, after it to `(number, number)`. A process
+killed in between leaves one message in doubt, the one whose answer was being written. Messages above it were
+never answered; those below it were, or their end is in the journal.
 
-The file is written by `pwrite` rather than mapped: a store to a mapped page raises SIGBUS where the file
-system finds no room for it, `pwrite` an error. Sixteen bytes are copied by the system in one go, so no kill
-leaves half of them.
+The file is written with `pwrite` rather than mapped: on a full file system a store to a mapped page raises
+SIGBUS, while `pwrite` returns an error. The kernel copies the sixteen bytes at once, so a kill cannot leave a
+partial write.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 NAME = "answers"
 MAGIC, VERSION = b"RHJA", 1
-HEADER = struct.Struct("<4sHH16s8s")  # magic, version, zeros, journal's identity, mark of the machine's run
+HEADER = struct.Struct("<4sHH16s8s")  # magic, version, zeros, journal identity, boot mark
 CHECKSUM = struct.Struct("<I")
 MARKS = struct.Struct("<QQ")
-MARKS_AT = 64  # bytes into the file
+MARKS_AT = 64  # offset in bytes
 SIZE = BLOCK
 
 
 class Answered(Enum):
-    """What the file tells of a message that was recorded before its answer."""
+    """State of a message that was recorded before its client was answered."""
 
     YES = "answered"
     NO = "unanswered"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Marks:
-    """What stands in the file: all up to `answered` are settled, an answer up to `answering` was begun."""
+    """Content of the file: numbers up to `answered` are settled, answers up to `answering` were begun."""
 
     boot: bytes
     answered: int
@@ -51,7 +51,7 @@
 
 
 def read_marks(data: bytes, identity: bytes) -> Marks | None:
-    """What the file of that journal tells; None where it is torn, damaged or another journal's."""
+    """Decode the file; None if it is torn, damaged or of another journal than `identity`."""
     if len(data) < SIZE:
         return None
     magic, version, _, owner, boot = HEADER.unpack_from(data)
@@ -64,20 +64,20 @@
 
 
 def content(identity: bytes, marks: Marks) -> bytes:
-    """The whole file."""
+    """Encode the whole file."""
     head = HEADER.pack(MAGIC, VERSION, 0, identity, marks.boot)
     head += CHECKSUM.pack(zlib.crc32(head))
     return (head.ljust(MARKS_AT, b"\0") + MARKS.pack(marks.answered, marks.answering)).ljust(SIZE, b"\0")
 
 
 class AnswerFile:
-    """The file while a process writes it. All methods raise `OSError` where the disk fails."""
+    """Writes the answer file. All methods raise `OSError` if the disk fails."""
 
     def __init__(self, files: Files) -> None:
         self.files, self.fd = files, -1
 
     def open(self, identity: bytes, marks: Marks) -> None:
-        """Go on from these marks, which the file says already or says from now on."""
+        """Open the file, creating it if missing, and write `marks` to it."""
         fd = self.files.open_in_place(NAME)
         try:
             self.files.write_at(fd, content(identity, marks), 0)
@@ -87,11 +87,11 @@
         self.fd = fd
 
     def begin(self, number: int) -> None:
-        """The answer of that message is about to be written, and all before it is settled."""
+        """Called before the answer to message `number` is written; all lower numbers are settled."""
         self.files.write_at(self.fd, MARKS.pack(number - 1, number), MARKS_AT)
 
     def done(self, number: int) -> None:
-        """The whole of that answer is in the system's hands."""
+        """Called once the kernel has taken the whole answer."""
         self.files.write_at(self.fd, MARKS.pack(number, number), MARKS_AT)
 
     def close(self) -> None:
