--- a/rushhitch/journal/commit.py
+++ b/rushhitch/journal/commit.py
@@ -1,4 +1,4 @@
-"""Group commit: what waits for the disk's word is told once for all that came meanwhile."""
+"""Group commit: one sync completes all commits that arrived since the previous one."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.05  # between two tries of a sync for which there was no descriptor
+RETRY_S = 0.05  # between attempts of a sync while no descriptor is free
 
 Callback = Callable[[], None]
 
 
 class Committer:
-    """Writes what a journal has noted, and tells when it is as safe as the journal's `sync` promises."""
+    """Flushes a journal and calls back once the records are as durable as its `sync` promises."""
 
     def __init__(self, journal: Journal) -> None:
         self.journal = journal
@@ -26,8 +26,8 @@
         self.pool = ThreadPoolExecutor(1, "journal-sync") if journal.sync is Sync.BATCH else None
 
     def write(self) -> bool:
-        """Hand what was noted to the system in this step, with no sync. False where the disk does not take
-        all of it: the rest stays noted."""
+        """Write pending records at once, without a sync. Returns False if the disk does not take all of
+        them; the rest stays pending."""
         try:
             self.journal.flush(sync=False)
         except OSError as error:
@@ -36,7 +36,7 @@
         return True
 
     def commit(self, done: Callback, failed: Callback) -> None:
-        """Flush. One of the two is called: at once, or with `batch` after the sync of the group."""
+        """Flush, then call `done` or `failed`: at once, or with `Sync.BATCH` after the sync of the group."""
         try:
             self.journal.flush()
         except OSError as error:
@@ -51,13 +51,13 @@
             self.syncing = asyncio.get_running_loop().create_task(self.sync(self.pool))
 
     async def sync(self, pool: ThreadPoolExecutor) -> None:
-        """Sync group after group while anything waits."""
+        """Sync group after group while commits wait."""
         loop = asyncio.get_running_loop()
         while self.waiting:
             try:
                 group = self.journal.sync_group()
-            except OSError as error:  # no descriptor is left: nobody is told anything yet
-                log.error("the journal's sync waits: %s", error)
+            except OSError as error:  # no descriptor is left: all callbacks wait
+                log.error("the journal's sync will be retried: %s", error)
                 await asyncio.sleep(RETRY_S)
                 continue
             results, self.waiting = self.waiting, []
@@ -74,12 +74,12 @@
                 try:
                     (failed if broken else done)()
                 except Exception:
-                    log.exception("not carried out after a commit")
+                    log.exception("a callback failed after a commit")
             self.journal.maintain()
         self.syncing = None
 
     async def wait_until_idle(self) -> None:
-        """Until nothing waits for the disk."""
+        """Return once no sync is under way."""
         while self.syncing is not None:
             await asyncio.wait([self.syncing])
 
