--- a/rushhitch/journal/files.py
+++ b/rushhitch/journal/files.py
@@ -1,4 +1,4 @@
-"""The journal's only way to the disk: each operation is one method, so that a fault can be put before any."""
+"""All disk access of the journal: one method per operation, so that tests can inject a fault into each."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 import os
 from pathlib import Path
 
-BLOCK = 512  # bytes: files are counted in whole blocks, as the platform and `st_blocks` do
-MODE = 0o600  # bodies are payment orders: nobody else reads them
+BLOCK = 512  # bytes: sizes are counted in whole blocks, as the platform and `st_blocks` do
+MODE = 0o600  # owner only: bodies are payment orders
 
 
 def allocated_size(size: int) -> int:
-    """Bytes that a file of this size counts for: whole blocks."""
+    """`size` in bytes, rounded up to whole blocks."""
     return -(-size // BLOCK) * BLOCK
 
 
 class Files:
-    """Operations on one folder, by file name. All raise `OSError`; `write` may write less than it is given,
-    as write(2) may. Whoever opens a file closes it. Tests put faults in front of these methods."""
+    """Operations on one folder, by file name. All raise `OSError`; `write` may be partial, as write(2) may.
+    Callers close the descriptors they open. Tests override these methods to inject faults."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.lock_fd = -1
 
     def names(self) -> dict[str, int]:
-        """The size in bytes of each plain file in the folder."""
+        """Size in bytes of each regular file in the folder."""
         with os.scandir(self.folder) as entries:
             return {entry.name: entry.stat().st_size for entry in entries if entry.is_file()}
 
@@ -34,19 +34,19 @@
         return (self.folder / name).read_bytes()
 
     def create(self, name: str) -> int:
-        """A new, empty file for appending; its descriptor."""
+        """Create or truncate a file for appending; returns the descriptor."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
         return os.open(self.folder / name, flags, MODE)
 
     def open_in_place(self, name: str) -> int:
-        """A file whose bytes are overwritten where they stand, made if there is none; its descriptor."""
+        """Open a file for overwriting in place, creating it if missing; returns the descriptor."""
         return os.open(self.folder / name, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, MODE)
 
     def write(self, fd: int, data: bytes | memoryview) -> int:
         return os.write(fd, data)
 
     def write_at(self, fd: int, data: bytes, offset: int) -> None:
-        """Overwrite bytes in place: all of them or, with an `OSError`, possibly fewer."""
+        """Overwrite bytes at `offset`. On `OSError` some of them may be written."""
         if os.pwrite(fd, data, offset) < len(data):
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
@@ -57,11 +57,11 @@
         os.ftruncate(fd, size)
 
     def sync(self, fd: int) -> None:
-        """Until this returns, what was written to the file may be lost with the machine's power."""
+        """Make the data of the file durable against a power failure."""
         os.fdatasync(fd)
 
     def sync_name(self, name: str) -> None:
-        """The same by name."""
+        """`sync` by file name."""
         fd = os.open(self.folder / name, os.O_WRONLY | os.O_CLOEXEC)
         try:
             os.fdatasync(fd)
@@ -69,7 +69,7 @@
             os.close(fd)
 
     def sync_folder(self) -> None:
-        """The same for files that were made, renamed or unlinked."""
+        """Make creations, renames and unlinks in the folder durable."""
         fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
@@ -77,7 +77,7 @@
             os.close(fd)
 
     def duplicate(self, fd: int) -> int:
-        """Another descriptor of the same open file."""
+        """Another descriptor of the same open file description."""
         return os.dup(fd)
 
     def close(self, fd: int) -> None:
@@ -90,8 +90,8 @@
         os.unlink(self.folder / name)
 
     def lock(self, name: str) -> bool:
-        """Hold the folder until the process ends or `unlock`; False where another process holds it. A lock
-        that was handed over (`lock_fd`) is held already."""
+        """Lock the folder until `unlock` or the end of the process; False if another process holds it. A lock
+        taken over from another process (`lock_fd`) is held already."""
         if self.lock_fd >= 0:
             return True
         self.lock_fd = os.open(self.folder / name, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, MODE)
@@ -100,7 +100,7 @@
         except BlockingIOError:
             self.unlock()
             return False
-        except OSError:  # a file system without locks: the folder is private to one dispatcher anyway
+        except OSError:  # no locks on this file system; the folder belongs to one dispatcher anyway
             pass
         return True
 
