--- a/rushhitch/journal/__init__.py
+++ b/rushhitch/journal/__init__.py
@@ -1,4 +1,4 @@
-"""What outlasts the process: a segmented, checksummed log of the messages that are not over."""
+"""Segmented, checksummed write-ahead log of the messages that are not over."""
 
 from rushhitch.journal.format import FolderInUseError, JournalEntry, JournalError
 from rushhitch.journal.store import Journal, Sync
--- a/rushhitch/journal/inspect.py
+++ b/rushhitch/journal/inspect.py
@@ -1,4 +1,4 @@
-"""A journal as text, for people: what is live and what is wrong."""
+"""Formats a journal for operators: live messages and damage."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def format_duration(seconds: float) -> str:
-    """A duration to two figures or so: 0.4s, 12s, 3m20s, 2h05m."""
+    """A duration in about two units or digits: 0.4s, 12s, 3m20s, 2h05m."""
     sign, seconds = "-" if seconds < 0 else "", abs(seconds)
     if seconds < 10:
         return f"{sign}{seconds:.1f}s"
@@ -44,7 +44,7 @@
 
 
 def table(journal: Journal, now: float) -> str:
-    """One line for each live message, and what the folder holds."""
+    """One line per live message, then totals, cold endpoints and damage. `now` is Unix time in seconds."""
     rows = [("number", "id", "class", "dest", "since", "time left", "bytes", "tried", "owed")]
     for entry in journal.entries():
         since = format_duration(now - entry.accepted_at) if entry.accepted_at else "?"
@@ -75,7 +75,7 @@
 
 
 def damage(report: ReplayReport) -> list[str]:
-    """What replay found wrong, a line each."""
+    """One line per kind of damage found by replay."""
     lines = [f"{name}: its header is damaged" for name in report.unreadable]
     if report.damaged:
         lines.append(f"{report.damaged} bytes in the middle of segments make no record")
