--- a/rushhitch/journal/legacy.py
+++ b/rushhitch/journal/legacy.py
@@ -1,5 +1,5 @@
-"""The journal of the builds before the binary format: one file `journal` of JSON lines, read once and carried
-over. A line is the CRC-32 of its text in hex, a space, and a JSON list that begins with what happened."""
+"""Reads the journal of builds before the binary format, a file `journal` of JSON lines, for migration. A line
+is the CRC-32 of its text in hex, a space, and a JSON list that begins with the kind of event."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def read(data: bytes) -> tuple[dict[int, JournalEntry], dict[str, float], int]:
-    """The live messages, the cold endpoints, and how many records were left out as unreadable."""
+    """The live messages, the cold endpoints, and the number of unreadable records skipped."""
     live: dict[int, JournalEntry] = {}
     cold: dict[str, float] = {}
     bad = 0
     lines = data.split(b"\n")
-    lines.pop()  # empty, or the torn last record of a process that was killed
+    lines.pop()  # empty, or the incomplete last record of a killed process
     for line in lines:
         if not line:
             continue
@@ -30,14 +30,14 @@
             apply(live, cold, *record(line))
         except (ValueError, TypeError, KeyError) as error:
             bad += 1
-            log.warning("the old journal: a record is left out: %s: %s", type(error).__name__, error)
+            log.warning("JSON journal: skipping an unreadable record: %s: %s", type(error).__name__, error)
     return live, cold, bad
 
 
 def record(line: bytes) -> list[Any]:
     crc, _, text = line.partition(b" ")
     if len(crc) != 8 or int(crc, 16) != zlib.crc32(text):
-        raise ValueError("its checksum is wrong")
+        raise ValueError("checksum mismatch")
     return json.loads(text)
 
 
@@ -73,4 +73,4 @@
     elif what == "end":
         del live[subject]
     else:
-        raise ValueError(f"it tells of {what!r}")
+        raise ValueError(f"unknown kind of record {what!r}")
