--- a/rushhitch/journal/sidecar.py
+++ b/rushhitch/journal/sidecar.py
@@ -1,4 +1,4 @@
-"""Small files beside the journal's segments, replaced as a whole, within the same account of the disk."""
+"""Small files in the journal's folder, replaced atomically and counted towards its disk limit."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 log = logging.getLogger(__name__)
 
-DRAFT = ".draft"  # after the name, until the whole of it is written
+DRAFT = ".draft"  # suffix of the temporary file
 
 
 class SidecarFile:
-    """One such file: the old content or the new, never a part. A damaged one reads as none."""
+    """One such file. It holds the old or the new content, never a part; if damaged, it reads as missing."""
 
     def __init__(self, journal: Journal, name: str) -> None:
         self.journal, self.files, self.name = journal, journal.files, name
         names = self.files.names()
         self.size = names.get(name, 0)
-        if name + DRAFT in names:  # its writer was killed
+        if name + DRAFT in names:  # left by a killed process
             self.files.unlink(name + DRAFT)
             journal.used -= allocated_size(names[name + DRAFT])
 
     def load(self) -> bytes | None:
-        """The content; None where there is none to trust, with a line in the log if it is damaged."""
+        """The content; None if it is missing, unreadable or damaged, the last two with a log line."""
         if not self.size:
             return None
         try:
@@ -41,7 +41,7 @@
         return content
 
     def store(self, content: bytes) -> None:
-        """Replace it; an `OSError` where the disk does not take it, and then the old one stands."""
+        """Replace the content. Raises `OSError` if that fails; the old content then remains."""
         synced = self.journal.sync is not Sync.NONE
         previous = self.files.read(self.name) if synced and self.size else None
         self.replace(with_checksum(content))
@@ -54,7 +54,7 @@
             raise
 
     def replace(self, data: bytes) -> None:
-        """Write the whole of it beside the old one, and rename."""
+        """Write `data` to a temporary file and rename it over the old one."""
         if self.journal.used + allocated_size(len(data)) > self.journal.space.disk:
             self.journal.make_room(allocated_size(len(data)))
         draft = self.name + DRAFT
@@ -76,7 +76,7 @@
         self.size = len(data)
 
     def restore(self, previous: bytes | None) -> None:
-        """Guards against a change that was refused and holds from the next start on."""
+        """Put back the previous content: a change reported as failed must not hold from the next start on."""
         try:
             if previous is not None:
                 self.replace(previous)
@@ -85,7 +85,7 @@
             self.journal.used -= allocated_size(self.size)
             self.size = 0
         except OSError as error:
-            log.error("%s: a change that was refused may hold from the next start on: %s", self.name, error)
+            log.error("%s: a change reported as failed may hold from the next start on: %s", self.name, error)
 
 
 def with_checksum(content: bytes) -> bytes:
