--- a/rushhitch/journal/space.py
+++ b/rushhitch/journal/space.py
@@ -1,32 +1,27 @@
-"""What the journal may take of the disk, worked out before it is spent. Bytes throughout; no I/O.
+"""Disk space limits of the journal, all in bytes. No I/O.
 
-The folder holds at most `disk` bytes, each file counted in whole blocks. From the bottom up: live messages
-take at most `max_live_bytes`; compaction starts once the files pass `compaction_start_bytes` and is forced past
-`compact_by`; new messages are taken only up to `max_bytes_when_accepting`; what lies above is for outcomes, notices and
-ends, and for one segment that compaction writes before it can drop an old one.
+The folder holds at most `disk` bytes, each file counted in whole blocks. In increasing order: live messages
+take at most `max_live_bytes`; compaction starts above `compaction_start_bytes` and is forced above
+`compact_by`; messages are accepted only up to `max_bytes_when_accepting`. The rest is for outcomes, notices
+and ends, and for one segment that compaction writes before it can remove an old one.
 """
 
 from __future__ import annotations
 
-LIVE_SHARE = 0.4  # of the disk, for what is live: compaction then frees more than it writes
-COMPACT_SHARE = 0.5  # of the disk: fuller, and old segments are worked off beside live work
-FORCE_SHARE = 0.75  # of the disk: fuller, and each write first works off a whole segment
-ACCEPT_SHARE = 0.85  # of the disk: fuller, and nothing new is taken on
-SEGMENT_SHARE = 1 / 16  # of the disk: the smallest thing that can be given back
-MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES = (
-    4_096,
-    2_097_152,
-)  # bytes: a disk's block; to unlink more takes milliseconds
-RESTART_SEGMENTS = 64  # files that short lives of the process may leave
-RESERVE_SHARE = 1 / 32  # of the disk: real bytes that are given back when the disk itself is full
-MAX_RESERVE_BYTES = 1_048_576  # bytes: room for some 20,000 ends
-RECORD_ROOM = (
-    400  # bytes that a live message's further records take: eight attempts with outcomes, and its end
-)
+LIVE_SHARE = 0.4  # of the disk, for live messages: compaction then frees more than it writes
+COMPACT_SHARE = 0.5  # of the disk: above it, compaction runs in steps alongside other work
+FORCE_SHARE = 0.75  # of the disk: above it, each write first compacts a whole segment
+ACCEPT_SHARE = 0.85  # of the disk: above it, no message is accepted
+SEGMENT_SHARE = 1 / 16  # of the disk: space is freed by whole segments
+MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES = 4_096, 2_097_152  # a disk block; more takes ms to unlink
+RESTART_SEGMENTS = 64  # files allowed for the segments that frequent restarts leave
+RESERVE_SHARE = 1 / 32  # of the disk: allocated, and freed when the file system is full
+MAX_RESERVE_BYTES = 1_048_576  # room for some 20,000 ends
+RECORD_ROOM = 400  # bytes of a message's further records: eight attempts with outcomes, and its end
 
 
 class Space:
-    """The limits that follow from the disk's size."""
+    """The limits that follow from the size of the disk."""
 
     def __init__(self, disk: float) -> None:
         self.disk = disk
@@ -36,4 +31,4 @@
         self.max_bytes_when_accepting = ACCEPT_SHARE * disk
         self.segment = int(min(max(SEGMENT_SHARE * disk, MIN_SEGMENT_BYTES), MAX_SEGMENT_BYTES))
         self.reserve = int(min(RESERVE_SHARE * disk, MAX_RESERVE_BYTES))
-        self.segments = RESTART_SEGMENTS + 2.0 * disk / self.segment  # more small ones are worked off too
+        self.segments = RESTART_SEGMENTS + 2.0 * disk / self.segment  # above this number, compaction runs too
