--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""What the journal knows of answers: the marks, and what a start makes of messages recorded before theirs."""
+"""The answer file, and how a start classifies messages that were recorded before their answers."""
 
 import errno
 
@@ -22,7 +22,7 @@
 
 
 def killed_after_answers(folder, answered, answering=0, count=4):
-    """A process that recorded so many messages and was killed behind that answer, or within the next one."""
+    """A process that recorded `count` messages and was killed after that answer, or during `answering`."""
     journal = open_journal(folder)
     for number in range(1, count + 1):
         journal.record_received(entry(number))
@@ -35,13 +35,13 @@
     journal.close()
 
 
-def test_marks_tell_what_is_settled_what_is_under_way_and_what_is_not_begun():
+def test_marks_say_which_answers_are_settled_in_progress_or_not_begun():
     marks = Marks(bytes(8), 3, 5)
     states = [marks.state(number) for number in range(1, 8)]
     assert states == [Answered.YES] * 3 + [Answered.IN_DOUBT] * 2 + [Answered.NO] * 2
 
 
-def test_marks_of_another_journal_and_damaged_ones_tell_nothing():
+def test_marks_that_are_damaged_or_of_another_journal_are_ignored():
     data = content(b"i" * 16, Marks(b"b" * 8, 3, 5))
     assert len(data) == SIZE and read_marks(data, b"i" * 16) == Marks(b"b" * 8, 3, 5)
     assert read_marks(data, b"j" * 16) is None
@@ -54,14 +54,14 @@
     ("answered", "answering", "live", "in_doubt"),
     [(0, 0, [], []), (0, 1, [1], [1]), (2, 0, [1, 2], []), (2, 3, [1, 2, 3], [3]), (4, 0, [1, 2, 3, 4], [])],
 )
-def test_a_start_keeps_what_was_answered_drops_what_was_not_and_tells_what_is_in_doubt(
+def test_a_start_keeps_answered_messages_drops_unanswered_ones_and_reports_those_in_doubt(
     tmp_path, answered, answering, live, in_doubt
 ):
     killed_after_answers(tmp_path, answered, answering)
-    for _ in range(3):  # a start that is killed at once changes nothing of it
+    for _ in range(3):  # a start that is killed at once does not change the result
         journal = open_journal(tmp_path)
         assert (sorted(journal.live), journal.in_doubt) == (live, in_doubt)
-        assert journal.highest >= max([*live, answered, answering]), "a number would be used twice"
+        assert journal.highest >= max([*live, answered, answering]), "a message number would be reused"
         journal.close()
 
 
@@ -70,7 +70,7 @@
     journal = open_journal(tmp_path)
     journal.record_received(entry(9))
     journal.record_notice(2, "bounced", 500.0)
-    journal.begin_answer(9)  # the refusal goes first
+    journal.begin_answer(9)  # the refusal is written first
     journal.finish_answer(9)
     journal.close()
     journal = open_journal(tmp_path)
@@ -78,7 +78,7 @@
 
 
 def test_an_end_goes_to_the_disk_before_a_later_answer_is_begun(tmp_path):
-    # Guards against a refused message that counts as answered, since a later one was.
+    # Otherwise a refused message would count as answered, since a later one was.
     journal = open_journal(tmp_path)
     for number in (1, 2):
         journal.record_received(entry(number))
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("lost", ["lost", "damaged", "another run of the machine", "a run that is not known"])
-def test_without_marks_to_go_by_all_that_was_recorded_early_is_in_doubt(tmp_path, lost):
+def test_without_valid_marks_all_messages_recorded_before_their_answer_are_in_doubt(tmp_path, lost):
     killed_after_answers(tmp_path, 2, 3)
     boot, answered = BOOT, [1, 2]
     if lost == "lost":
@@ -112,20 +112,20 @@
     killed_after_answers(tmp_path, 1, 2)
     journal = open_journal(tmp_path)
     journal.roll()
-    journal.step()  # copies of both, the one in doubt still flagged
+    journal.step()  # copies both; the one in doubt keeps its flag
     journal.remove_dead_segments()
     journal.close()
     journal = open_journal(tmp_path)
     assert (sorted(journal.live), journal.in_doubt) == ([1, 2], [2])
 
 
-def test_nothing_is_taken_on_without_the_file_and_it_comes_back_with_the_disk(tmp_path, monkeypatch):
+def test_nothing_is_accepted_without_the_file_which_is_reopened_when_the_disk_recovers(tmp_path, monkeypatch):
     now, failing = [100.0], [True]
     write_at = Files.write_at
 
     def fails(self, fd, data, offset):
         if failing[0]:
-            raise OSError(errno.EIO, "the disk fails")
+            raise OSError(errno.EIO, "injected disk error")
         write_at(self, fd, data, offset)
 
     monkeypatch.setattr(Files, "write_at", fails)
@@ -140,10 +140,10 @@
         journal.begin_answer(1)
     failing[0] = False
     journal.close()
-    assert not open_journal(tmp_path, writable=False).live, "nobody was told of it"
+    assert not open_journal(tmp_path, writable=False).live, "its client was not answered"
 
 
-def test_a_message_whose_answer_is_to_come_differs_in_one_flag_that_earlier_builds_pass_over():
+def test_an_unanswered_message_differs_in_one_flag_that_earlier_builds_ignore():
     plain, early = (form.message_payload(entry(1), early) for early in (False, True))
     differ = [(one, other) for one, other in zip(plain, early, strict=True) if one != other]
     assert differ == [(0, form.UNANSWERED)]
