--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: what is live is what a later process finds, whatever was torn, spoilt or compacted."""
+"""The journal: a later process recovers the live state after torn writes, damage and compaction."""
 
 import errno
 import random
@@ -29,14 +29,14 @@
 
 
 def reopen(journal, **options):
-    """What a later process finds."""
+    """Close the journal and open it again, as a later process does."""
     folder = journal.files.folder
     journal.close()
     return open_journal(folder, **options)
 
 
 def open_read_only(folder):
-    """What is live by the files, with nothing changed."""
+    """Replay the files without changing them."""
     return Journal(folder, DISK, writable=False)
 
 
@@ -64,7 +64,7 @@
     assert again.live[1].body == b"\x00\r\n\xff" and again.live[1].attempts == 2
     assert again.live[1].first_run == ("e1", 1000.0) and again.live[2].first_run == ("e1", 1000.0)
     again.compact()
-    assert reopen(again).live == before, "not the same after a compaction"
+    assert reopen(again).live == before, "state changed by compaction"
 
 
 def test_an_attempt_proven_unsent_leaves_no_doubt(tmp_path):
@@ -92,7 +92,7 @@
     assert reopen(again).live == {}
 
 
-def test_a_number_is_not_used_again_while_files_tell_of_it(tmp_path):
+def test_a_number_is_not_reused_while_files_contain_it(tmp_path):
     journal = filled_journal(tmp_path)
     journal.record_accepted(entry(9))
     journal.flush()
@@ -123,8 +123,8 @@
     path.write_bytes(data.replace(part, by))
 
 
-def test_damage_in_the_middle_is_told_from_a_torn_end_and_the_rest_is_recovered(tmp_path, caplog):
-    # Guards against an unsafe message that is sent twice, since its attempt was in the damaged part.
+def test_damage_is_distinguished_from_a_torn_end_and_the_rest_is_recovered(tmp_path, caplog):
+    # Otherwise an unsafe message whose attempt record was in the damaged part would be sent twice.
     journal = open_journal(tmp_path)
     journal.record_accepted(entry(1, b"first"))
     journal.record_accepted(entry(2, b"the second one"))
@@ -137,16 +137,16 @@
     assert sorted(again.live) == [1, 3]
     assert again.report.lost == 1 and again.report.damaged > 14 and not again.report.clean
     assert again.live[1].first_run == ("", entry().accepted_at), (
-        "an attempt may have been lost: it may have run"
+        "its attempt record may be lost, so it may have run"
     )
-    assert again.live[3].first_run is None, "it was taken on after the lost record"
+    assert again.live[3].first_run is None, "it was accepted after the lost record"
     assert "1 records lost" in caplog.text
     again.compact()
     assert not segments(tmp_path)[0].name.startswith("damaged")
-    aside = [path for path in tmp_path.iterdir() if path.name.startswith("damaged-")]
-    assert len(aside) == 1 and b"the sec0nd one" in aside[0].read_bytes()
+    damaged_files = [path for path in tmp_path.iterdir() if path.name.startswith("damaged-")]
+    assert len(damaged_files) == 1 and b"the sec0nd one" in damaged_files[0].read_bytes()
     last = reopen(again)
-    assert sorted(last.live) == [1, 3] and last.report.clean, "the doubt is kept, the damage is not"
+    assert sorted(last.live) == [1, 3] and last.report.clean, "compaction keeps the doubt, not the damage"
     assert last.live[1].first_run == ("", entry().accepted_at)
 
 
@@ -200,7 +200,7 @@
     with pytest.raises(JournalError, match="format version 3, and this build reads up to 2: start the build"):
         open_journal(tmp_path)
     assert path.read_bytes() == newer
-    assert folder_can_be_locked(tmp_path), "the refusal held on to the folder"
+    assert folder_can_be_locked(tmp_path), "the refused journal kept the lock on the folder"
 
 
 def folder_can_be_locked(folder):
@@ -233,8 +233,8 @@
     open_journal(tmp_path).close()
 
 
-def test_the_journal_of_json_lines_is_carried_over(tmp_path):
-    # The file was written by the build before this format; its last record is torn.
+def test_the_journal_of_json_lines_is_migrated(tmp_path):
+    # Written by the build before the binary format; its last record is torn.
     shutil.copy(JSON_LINES, tmp_path / "journal")
     journal = open_journal(tmp_path)
     assert sorted(journal.live) == [1, 2, 3, 4] and journal.report.migrated == 4
@@ -251,13 +251,13 @@
     assert again.live == before and again.cold == {"e1": 2.5} and not again.report.migrated
 
 
-def test_until_it_is_carried_over_whole_the_old_file_alone_counts(tmp_path):
+def test_until_migration_is_complete_the_old_file_alone_counts(tmp_path):
     shutil.copy(JSON_LINES, tmp_path / "journal")
     journal = open_journal(tmp_path)
     before = journal.live
     journal.close()
     (path,) = segments(tmp_path)
-    path.write_bytes(path.read_bytes()[:100])  # as if killed in mid-write, before the old file went
+    path.write_bytes(path.read_bytes()[:100])  # as if killed in the migration, with the old file still there
     shutil.copy(JSON_LINES, tmp_path / "journal")
     assert open_journal(tmp_path).live == before
 
@@ -265,20 +265,20 @@
 def test_the_folder_stays_within_its_disk_with_compaction_at_work(tmp_path):
     files = CountingFiles(tmp_path, DISK)
     journal = open_journal(tmp_path, files=files)
-    taken, chance = [], random.Random(4)
+    accepted, chance = [], random.Random(4)
     for number in range(3000):
         if journal.has_room(500):
             journal.record_accepted(entry(number, bytes(500)))
-            taken.append(number)
+            accepted.append(number)
         else:
-            journal.record_end(taken.pop(chance.randrange(len(taken))))
+            journal.record_end(accepted.pop(chance.randrange(len(accepted))))
         journal.flush()
     assert 0.5 * DISK < files.most <= DISK
-    assert len(taken) * 900 > 0.35 * DISK, "much less was held than the disk has room for"
+    assert len(accepted) * 900 > 0.35 * DISK, "far fewer messages were accepted than fit the disk"
     assert journal.used == sum(allocated_size(size) for size in files.names().values()), (
-        "the accounts are wrong"
+        "the tracked size differs from the files"
     )
-    assert sorted(reopen(journal).live) == taken
+    assert sorted(reopen(journal).live) == accepted
 
 
 def test_a_write_that_failed_leaves_no_gap_and_goes_first_at_the_next_flush(tmp_path):
@@ -297,8 +297,8 @@
     assert again.live == live and again.report.clean and 3 in live
 
 
-def test_where_a_torn_end_cannot_be_cut_off_it_is_no_damage(tmp_path):
-    # The write does half, and then neither the rest nor the truncation works.
+def test_a_torn_end_that_cannot_be_truncated_is_no_damage(tmp_path):
+    # Half of the data is written, then both the rest and the truncation fail.
     journal = filled_journal(tmp_path)
     journal.files = FailingFiles(tmp_path, 1, 4, short=True)
     journal.record_accepted(entry(3))
@@ -321,7 +321,7 @@
 
 
 def test_a_full_disk_still_takes_ends_from_the_reserve(tmp_path):
-    # Guards against a disk that is full of other files: what was taken on must end, and the ends be kept.
+    # The disk is full of other files: accepted messages must still end, and their ends must be recorded.
     files = FullFiles(tmp_path, DISK)
     journal = open_journal(tmp_path, files=files)
     for number in range(20):
@@ -336,7 +336,7 @@
         journal.record_notice(number, "dead", 0.0)
         journal.flush()
     assert [message.notice for message in open_read_only(tmp_path).live.values()] == [("dead", 0.0)] * 20
-    assert not journal.has_room(1), "new messages wait until the reserve is back"
+    assert not journal.has_room(1), "nothing is accepted until the reserve is back"
 
 
 def test_the_reserve_comes_back_with_the_space(tmp_path):
@@ -349,7 +349,7 @@
     now[0] = 10.0
     assert not journal.has_room(1)
     files.room = DISK
-    assert not journal.has_room(1), "the disk is asked at every message"
+    assert not journal.has_room(1), "allocation must not be tried at every message"
     now[0] = 20.0
     assert journal.has_room(1)
 
@@ -371,7 +371,7 @@
     assert len(reopen(again).live) == 99
 
 
-def test_many_short_lives_do_not_leave_many_files(tmp_path):
+def test_many_restarts_do_not_leave_many_files(tmp_path):
     journal = open_journal(tmp_path)
     journal.record_accepted(entry(1))
     for number in range(2, 200):
@@ -400,7 +400,10 @@
 
 
 STEPS = st.lists(
-    st.tuples(st.sampled_from("take try got owe end flush compact roll reopen".split()), st.integers(0, 3)),
+    st.tuples(
+        st.sampled_from("accept attempt outcome notice end flush compact roll reopen".split()),
+        st.integers(0, 3),
+    ),
     max_size=60,
 )
 
@@ -412,13 +415,13 @@
     journal = Journal(folder, DISK, sync)
     for step, number in steps:
         message = journal.live.get(number)
-        if step == "take" and message is None:
+        if step == "accept" and message is None:
             journal.record_accepted(entry(number))
-        elif step == "try" and message:
+        elif step == "attempt" and message:
             journal.record_attempt(number, message.attempts, "e1", 1000.0 + message.attempts)
-        elif step == "got" and message and message.out:
+        elif step == "outcome" and message and message.out:
             journal.record_outcome(number, min(message.out), number % 2 == 0)
-        elif step == "owe" and message and not message.notice:
+        elif step == "notice" and message and not message.notice:
             journal.record_notice(number, "dead", 0.0)
         elif step == "end" and message:
             journal.record_end(number)
@@ -441,8 +444,8 @@
     again.close()
 
 
-def test_an_id_that_comes_again_while_its_first_message_owes_a_notice_is_another_message(tmp_path):
-    # Guards against the end of the first being taken for that of the second, and against room that leaks.
+def test_an_id_reused_while_its_first_message_has_a_pending_notice_is_another_message(tmp_path):
+    # The end of the first must not end the second, and `live_bytes` must not leak.
     journal = open_journal(tmp_path)
     empty = journal.live_bytes
     first, second = entry(1), entry(2)
@@ -469,14 +472,14 @@
     assert again.cold == {"e1": 2.5}
     again.compact()
     again = reopen(again)
-    assert again.cold == {"e1": 2.5}, "lost in a compaction"
+    assert again.cold == {"e1": 2.5}, "lost by compaction"
     again.record_warm("e1")
     again.flush()
     assert reopen(again).cold == {}
 
 
 def test_a_step_of_compaction_is_bounded(tmp_path):
-    # Guards against a pause of the loop: a step copies so many messages and bytes, however many are live.
+    # A step must not stall the event loop, however many messages are live.
     journal = open_journal(tmp_path, disk=50e6)
     for number in range(2000):
         journal.record_accepted(entry(number, bytes(100)))
@@ -485,11 +488,11 @@
     sizes = []
     write = journal.files.write
 
-    def watched(fd, data):
+    def recording_write(fd, data):
         sizes.append(len(data))
         return write(fd, data)
 
-    journal.files.write = watched
+    journal.files.write = recording_write
     journal.step()
     assert len(sizes) == 1 and sizes[0] < 128 * 250
 
@@ -501,10 +504,10 @@
         journal.record_accepted(entry(number, bytes(300)))
     journal.flush()
 
-    def broken(name):
-        raise OSError(errno.EIO, "the disk is broken")
+    def failing_unlink(name):
+        raise OSError(errno.EIO, "injected disk error")
 
-    files.unlink = broken
+    files.unlink = failing_unlink
     for number in range(40):
         journal.record_end(number)
         journal.record_accepted(entry(100 + number, bytes(300)))
@@ -514,7 +517,7 @@
 
 @pytest.mark.parametrize("live", [1, 300])
 def test_a_start_reads_a_bounded_number_of_records_however_large_the_disk(tmp_path, live):
-    # Guards against a start that follows megabytes of small records, most of them of no use any more.
+    # Otherwise a start would replay megabytes of small records, most of them obsolete.
     journal = Journal(tmp_path, 16e6)
     for number in range(1, live + 1):
         journal.record_accepted(JournalEntry(number, b"m%d" % number, "note", 7, 4e9, b"x"))
@@ -524,10 +527,10 @@
         journal.record_outcome(turn % live + 1, turn, False)
         journal.flush()
         most = max(most, journal.sequence - journal.segments[0].base)
-    entry = {number: message.attempts for number, message in journal.live.items()}
+    attempts = {number: message.attempts for number, message in journal.live.items()}
     journal.close()
     again = Journal(tmp_path, 16e6, writable=False)
-    assert {number: message.attempts for number, message in again.live.items()} == entry
+    assert {number: message.attempts for number, message in again.live.items()} == attempts
     assert again.report.records <= most and again.report.clean
     bound = store.MAX_REPLAY_RECORDS + store.MAX_REPLAY_RECORDS_PER_ENTRY * live
     assert most <= bound + live + 2 * store.MAX_SEGMENT_RECORDS
