--- a/tests/test_journal_cli.py
+++ b/tests/test_journal_cli.py
@@ -1,4 +1,4 @@
-"""`python -m rushhitch journal`: what people see of a journal."""
+"""The command `python -m rushhitch journal`: inspect, verify and compact."""
 
 import subprocess
 import sys
@@ -21,7 +21,7 @@
     return journal
 
 
-def test_inspect_tells_who_is_live_where_tried_and_what_is_owed(tmp_path, capsys):
+def test_inspect_shows_live_messages_attempts_and_pending_results(tmp_path, capsys):
     journal = journal_with(tmp_path, 1, 2, 3)
     journal.record_attempt(1, 0, "e1", 1_700_000_001.0)
     journal.record_attempt(2, 0, "e2", 1_700_000_001.0)
@@ -29,7 +29,7 @@
     journal.record_notice(3, "bounced", 300.0)
     journal.record_cold("e2", 2.5)
     journal.flush()
-    assert main(["journal", "inspect", str(tmp_path)]) == 0, "it works beside a running dispatcher"
+    assert main(["journal", "inspect", str(tmp_path)]) == 0, "must work while a dispatcher holds the journal"
     output = capsys.readouterr().out
     lines = {line.split()[0]: line for line in output.splitlines()[1:4]}
     assert "out at e1 for" in lines["1"] and "its end" in lines["1"]
@@ -52,10 +52,10 @@
     assert main(["journal", "verify", str(tmp_path)]) == 1
     output = capsys.readouterr().out
     assert "1 records are lost" in output and "DAMAGED" in output
-    assert path.read_bytes() == data.replace(b"m2", b"m9"), "verify changes nothing"
+    assert path.read_bytes() == data.replace(b"m2", b"m9"), "verify must not change the files"
 
 
-def test_compact_wants_the_dispatcher_down(tmp_path, capsys):
+def test_compact_requires_the_dispatcher_to_be_stopped(tmp_path, capsys):
     journal = journal_with(tmp_path, *range(500))
     for number in range(400):
         journal.record_end(number)
@@ -70,7 +70,7 @@
     after.close()
 
 
-def test_a_folder_that_is_none_is_told_and_the_exit_says_so(tmp_path):
+def test_a_missing_folder_is_reported_with_exit_code_2(tmp_path):
     command = [sys.executable, "-m", "rushhitch", "journal", "inspect", str(tmp_path / "none")]
     ended = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30)
     assert ended.returncode == 2 and "is not a folder: name $ROUTER_STATE" in ended.stderr
