--- a/tests/test_journal_sync.py
+++ b/tests/test_journal_sync.py
@@ -1,4 +1,4 @@
-"""With syncs, what was promised outlasts the machine's power, and a disk whose syncs fail is not believed."""
+"""With syncs, promised records survive a power failure, and data is rewritten after a failed sync."""
 
 import asyncio
 import errno
@@ -19,8 +19,8 @@
     return JournalEntry(number, b"m%d" % number, "pay", 7, 1_900_000_000.0, body, accepted_at=1_800_000_000.0)
 
 
-class CutAt(PowerCutFiles):
-    """The power goes before the n-th operation."""
+class PowerCutAt(PowerCutFiles):
+    """Power fails before operation number `at`."""
 
     def __init__(self, folder, at, limit):
         super().__init__(folder, limit)
@@ -29,7 +29,7 @@
     def act(self, work):
         if self.count >= self.at:
             self.reached = True
-            raise Crash("the power is gone")
+            raise Crash("power failure")
         return super().act(work)
 
 
@@ -38,24 +38,24 @@
     at = 1 + part
     while True:
         folder = tmp_path_factory.mktemp("state")
-        files = CutAt(folder, at, DISK)
+        files = PowerCutAt(folder, at, DISK)
 
         def work(outside, files=files, folder=folder, at=at):
             try:
-                life = SimulatedProcess(outside, files, 1, DISK, Sync.ALWAYS)
-                load(life, 0, 30)
+                process = SimulatedProcess(outside, files, 1, DISK, Sync.ALWAYS)
+                load(process, 0, 30)
                 settle(outside)
             except Crash:
                 pass
             outside.killed()
             files.cut(seed=at)
-            life = SimulatedProcess(
+            process = SimulatedProcess(
                 outside, CountingFiles(folder, DISK), 2, DISK, Sync.ALWAYS, boot="the next one"
             )
             settle(outside)
             outside.check()
-            assert not life.journal.live
-            life.files.die()
+            assert not process.journal.live
+            process.files.die()
 
         virtual(work)
         if not files.reached:
@@ -65,8 +65,8 @@
 
 
 @pytest.mark.parametrize("how", HOWS)
-def test_a_kill_at_each_operation_sends_on_no_message_whose_client_was_not_told(tmp_path, how):
-    # The group of a sync is recorded before the first answer: what was not accepted is dropped.
+def test_a_kill_at_each_operation_sends_no_message_whose_client_was_not_answered(tmp_path, how):
+    # A sync group is recorded before its first answer; after a kill, messages not accepted are dropped.
     at, reached = 1, True
     while reached:
         folder = tmp_path / str(at)
@@ -75,18 +75,18 @@
 
         def work(outside, files=files, folder=folder):
             try:
-                life = SimulatedProcess(outside, files, 1, DISK, Sync.ALWAYS)
-                load(life, 0, 30)
+                process = SimulatedProcess(outside, files, 1, DISK, Sync.ALWAYS)
+                load(process, 0, 30)
                 settle(outside)
             except Crash:
                 pass
             outside.killed()
             files.die()
-            life = SimulatedProcess(outside, CountingFiles(folder, DISK), 2, DISK, Sync.ALWAYS)
+            process = SimulatedProcess(outside, CountingFiles(folder, DISK), 2, DISK, Sync.ALWAYS)
             settle(outside)
             outside.check()
-            assert not life.journal.live
-            life.files.die()
+            assert not process.journal.live
+            process.files.die()
 
         virtual(work)
         reached = files.reached
@@ -94,7 +94,7 @@
     assert at > 60
 
 
-def test_an_offer_that_was_not_accepted_is_dropped_after_a_kill_and_in_doubt_after_a_power_cut(tmp_path):
+def test_an_unaccepted_message_is_dropped_after_a_kill_and_in_doubt_after_a_power_cut(tmp_path):
     journal = Journal(tmp_path, 1e6, Sync.BATCH, boot="one")
     for number in (1, 2, 3):
         journal.record_received(entry(number))
@@ -102,21 +102,21 @@
     journal.begin_answer(1)
     journal.finish_answer(1)
     journal.begin_answer(2)
-    journal.close()  # killed in the step of the second answer
+    journal.close()  # killed during the second answer
     found = Journal(tmp_path, 1e6, Sync.BATCH, writable=False, boot="one")
     assert (sorted(found.live), found.in_doubt) == ([1, 2], [2])
     for boot in ("two", ""):
         found = Journal(tmp_path, 1e6, Sync.BATCH, writable=False, boot=boot)
         assert (sorted(found.live), found.in_doubt) == ([1, 2, 3], [2, 3])
     Journal(tmp_path, 1e6, Sync.BATCH, boot="one").close()
-    again = Journal(tmp_path, 1e6, Sync.BATCH, boot="two")
-    assert sorted(again.live) == [1, 2] and again.highest == 3, "what was dropped came back"
-    assert again.in_doubt == [2], "what was in doubt was taken for answered"
-    again.close()
+    reopened = Journal(tmp_path, 1e6, Sync.BATCH, boot="two")
+    assert sorted(reopened.live) == [1, 2] and reopened.highest == 3, "a dropped message came back"
+    assert reopened.in_doubt == [2], "a message in doubt counted as answered"
+    reopened.close()
 
 
-def test_a_power_cut_in_a_batch_keeps_each_group_that_was_told(tmp_path_factory):
-    # The journal alone: what a group's `done` has told is there, whatever else vanished, compaction included.
+def test_a_power_cut_in_a_batch_keeps_each_completed_group(tmp_path_factory):
+    # The journal alone: records of a group whose `done` was called must survive, also during compaction.
     cuts = 0
     for seed in range(150):
         folder = tmp_path_factory.mktemp("state")
@@ -125,10 +125,10 @@
         promised: dict[int, bool] = {}  # by number: is it live
         for number in range(seed % 50 + 5):
             journal.record_accepted(entry(number, bytes(300)))
-            noted = {number: True}
+            recorded = {number: True}
             if number >= 8:
                 journal.record_end(number - 8)
-                noted[number - 8] = False
+                recorded[number - 8] = False
             journal.flush()
             if number % 3 != 2:
                 group = journal.sync_group()
@@ -143,20 +143,20 @@
                 group.run()
                 group.done()
                 journal.maintain()
-                promised |= noted
+                promised |= recorded
             else:
                 promised.pop(number - 8, None)
         files.cut(seed)
         cuts += 1
-        again = Journal(folder, DISK, Sync.BATCH)
-        missing = [number for number, live in promised.items() if live and number not in again.live]
+        reopened = Journal(folder, DISK, Sync.BATCH)
+        missing = [number for number, live in promised.items() if live and number not in reopened.live]
         assert not missing, f"seed {seed}: {missing}"
-        again.close()
+        reopened.close()
     assert cuts == 150
 
 
-def test_what_was_not_synced_may_vanish_without_making_an_unsafe_message_doubtful(tmp_path):
-    # Its attempt was not told as down, so it was not sent: after the cut it is still safe to send.
+def test_losing_unsynced_records_does_not_mark_an_unsafe_message_as_possibly_run(tmp_path):
+    # No attempt was synced, so none was sent: after the power failure it is still safe to send.
     files = PowerCutFiles(tmp_path)
     journal = Journal(tmp_path, 1e6, Sync.BATCH, files)
     journal.record_accepted(entry(1))
@@ -169,26 +169,26 @@
         journal.flush()
     for seed in range(30):
         files.cut(seed)
-        again = Journal(tmp_path, 1e6, Sync.BATCH, writable=False)
-        assert again.live[1].first_run is None and again.report.clean
+        reopened = Journal(tmp_path, 1e6, Sync.BATCH, writable=False)
+        assert reopened.live[1].first_run is None and reopened.report.clean
 
 
-def test_a_batch_answers_only_after_its_group_is_down(tmp_path):
+def test_a_batch_is_answered_only_after_its_group_is_synced(tmp_path):
     async def work():
         journal = Journal(tmp_path, 1e6, Sync.BATCH)
         committer, order = Committer(journal), []
         sync = journal.files.sync
 
-        def watched(fd):
+        def recording_sync(fd):
             order.append("synced")
             sync(fd)
 
-        journal.files.sync = watched
+        journal.files.sync = recording_sync
         ready = asyncio.Event()
         for number in range(5):
             journal.record_accepted(entry(number))
             committer.commit(lambda: order.append("told"), lambda: order.append("failed"))
-        assert order == [], "told before the sync"
+        assert order == [], "called back before the sync"
         journal.record_accepted(entry(9))
         committer.commit(ready.set, ready.set)
         await asyncio.wait_for(ready.wait(), 10)
@@ -199,8 +199,8 @@
     asyncio.run(work())
 
 
-def test_after_a_sync_that_failed_all_that_is_live_is_written_anew(tmp_path):
-    # Guards against fsyncgate: a second sync that succeeds proves nothing of what the first one lost.
+def test_after_a_failed_sync_all_live_messages_are_rewritten(tmp_path):
+    # fsyncgate: a later sync that succeeds proves nothing about the data of the failed one.
     async def work():
         files = PowerCutFiles(tmp_path)
         journal = Journal(tmp_path, 1e6, Sync.BATCH, files)
@@ -214,11 +214,11 @@
         assert await commit() == "done"
         sync = files.sync
 
-        def broken(fd):
-            files.open[fd].since.clear()  # what such a disk does: the pages are dropped, and count as clean
-            raise OSError(errno.EIO, "the disk is broken")
+        def failing_sync(fd):
+            files.open[fd].since.clear()  # as the kernel does: the dirty pages are dropped and count as clean
+            raise OSError(errno.EIO, "injected disk error")
 
-        files.sync = broken
+        files.sync = failing_sync
         journal.record_accepted(entry(2))
         assert await commit() == "failed"
         assert journal.has_unwritten_records and not journal.has_room(1)
@@ -232,8 +232,8 @@
 
 
 @pytest.mark.parametrize("sync", [Sync.ALWAYS, Sync.BATCH])
-def test_what_a_killed_process_left_unsynced_is_synced_before_it_is_built_on(tmp_path, sync):
-    # A kill keeps what was written, but not yet against a power cut: the next life makes it safe first.
+def test_data_that_a_killed_process_left_unsynced_is_synced_at_the_next_start(tmp_path, sync):
+    # Data written before a kill is not yet durable: the next process must sync it before building on it.
     files = CrashingFiles(tmp_path, 12, "before")
     with pytest.raises(Crash):
         journal = Journal(tmp_path, 1e6, sync, files)
@@ -244,15 +244,15 @@
     power = PowerCutFiles(tmp_path)
     for inode in power.inodes.values():
         inode.since, inode.durable = [(0, inode.durable)], b""
-    again = Journal(tmp_path, 1e6, sync, power)
-    assert again.live
-    live = set(again.live)
+    reopened = Journal(tmp_path, 1e6, sync, power)
+    assert reopened.live
+    live = set(reopened.live)
     power.cut(seed=4)
     assert live == set(Journal(tmp_path, 1e6, sync, writable=False).live)
 
 
 def test_syncs_go_to_the_device(tmp_path, monkeypatch):
-    # The disks of the other tests keep their own account of what is durable; here it is the system's calls.
+    # The simulated disks of the other tests track durability themselves; this one checks the system calls.
     files, synced = Files(tmp_path), []
     monkeypatch.setattr(os, "fdatasync", lambda fd: synced.append(os.fstat(fd).st_ino))
     monkeypatch.setattr(os, "fsync", lambda fd: synced.append(os.fstat(fd).st_ino))
