--- a/rushhitch/fronts/admission.py
+++ b/rushhitch/fronts/admission.py
@@ -22,22 +22,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class ConnectionActivity:
     """What is known of a connection; times in seconds on one clock."""
 
     connected_at: float
     heard_at: float  # it connected, began a request, or had its last answer
-    moved_at: float  # its newest byte
+    last_byte_at: float  # its newest byte
     size: int = 0  # bytes of a request that has not come whole
     asked: bool = False  # it has made a request that makes sense
-    waits: bool = False  # for an answer
+    awaiting_answer: bool = False  # for an answer
 
     def stalled(self, now: float) -> bool:
-        return now - self.moved_at >= STALLED_S
+        return now - self.last_byte_at >= STALLED_S
 
     def overdue(self, now: float) -> bool:
         """Whether the request that it began, or its first one, ought to have come by now."""
-        if self.waits or (self.asked and not self.size):
+        if self.awaiting_answer or (self.asked and not self.size):
             return False
         waited = now - self.heard_at
         if not self.size or self.stalled(now):
@@ -46,11 +46,11 @@
 
     def idle(self, now: float) -> bool:
         """Whether it has stood between requests for long enough."""
-        return self.asked and not (self.size or self.waits) and now - self.heard_at >= IDLE_S
+        return self.asked and not (self.size or self.awaiting_answer) and now - self.heard_at >= IDLE_S
 
-    def gives_way(self, now: float) -> int | None:
+    def eviction_rank(self, now: float) -> int | None:
         """Its place in the order; None if it stays."""
-        if self.waits:
+        if self.awaiting_answer:
             return None
         if self.size:
             return 1 if not self.asked and self.stalled(now) else None
@@ -62,11 +62,11 @@
 Who = TypeVar("Who")
 
 
-def order(standings: Iterable[tuple[Who, Standing]], now: float) -> list[Who]:
+def eviction_order(activities: Iterable[tuple[Who, ConnectionActivity]], now: float) -> list[Who]:
     """Those that give way to a newcomer, the first of them first."""
     found = [
-        (place, standing.heard_at, number, who)
-        for number, (who, standing) in enumerate(standings)
-        if (place := standing.gives_way(now)) is not None
+        (place, activity.heard_at, number, who)
+        for number, (who, activity) in enumerate(activities)
+        if (place := activity.eviction_rank(now)) is not None
     ]
     return [who for *_, who in sorted(found, key=lambda entry: entry[:3])]
--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -22,7 +22,13 @@
 from rushhitch.cloudevents.events import BadEvent, Event
 from rushhitch.cloudevents.http import MOST_BATCH, decode
 from rushhitch.cloudevents.mapping import Rules, acknowledgement, placed
-from rushhitch.fronts.client_connection import ClientConnection, Close, ConnectionOwner, Fault, Slot
+from rushhitch.fronts.client_connection import (
+    ClientConnection,
+    CloseReason,
+    ConnectionOwner,
+    ErrorReason,
+    ResponseSlot,
+)
 
 MOST_AHEAD = 65_536  # bytes of further requests that are read while one is under way
 MOST_HEAD = 32_768  # bytes: 64 attributes as headers, most of them short
@@ -35,7 +41,7 @@
 
 STATUS = {"taken": 202, "delivered": 200, "failed": 502, "refused": 503}
 STATUS |= {"acknowledged": 200, "unknown": 404, "differs": 409, "late": 410}
-FAULTS = {Fault.BAD: 400, Fault.LATE: 408, Fault.CROWD: 503, Fault.LEAVING: 503}
+FAULTS = {ErrorReason.BAD: 400, ErrorReason.LATE: 408, ErrorReason.CROWD: 503, ErrorReason.LEAVING: 503}
 DETAIL = {
     "failed": "the event was not delivered, or may have been: to send it again as a new event may repeat it",
     "refused": "the event was not taken on, or never left: to send it again does no harm",
@@ -201,7 +207,7 @@
         self.intake: Intake | None = None
         self.ended = False  # the client has ended its sending
 
-    def error(self, text: str, fault: Fault) -> bytes:
+    def error(self, text: str, fault: ErrorReason) -> bytes:
         return self.response(Outcome.problem(FAULTS[fault], text), close=True)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -214,9 +220,9 @@
         super().connection_lost(error)
 
     def data_received(self, data: bytes) -> None:
-        if self.deaf:
+        if self.ignores_input:
             return
-        self.heard()
+        self.mark_received()
         self.http.receive_data(data)
         self.serve()
 
@@ -225,9 +231,9 @@
         if self.intake is not None and not self.intake.over:
             self.intake.finish()  # whoever waits for an end hears now what is known
         idle = self.http.our_state is h11.IDLE and not (self.slots or self.size or self.ended)
-        return b"" if idle and not (self.deaf or self.full or self.finishing) else None
+        return b"" if idle and not (self.ignores_input or self.write_paused or self.draining) else None
 
-    def turned_away(self) -> bytes:
+    def refusal(self) -> bytes:
         return self.response(Outcome.problem(503, "the process ends", REFUSED_MS), close=True)
 
     def withdraw_requests(self) -> None:
@@ -249,7 +255,7 @@
 
     def serve(self) -> None:
         """Read on until a request is whole, or more must come."""
-        while not self.slots and not self.deaf:
+        while not self.slots and not self.ignores_input:
             try:
                 event = self.http.next_event()
             except h11.RemoteProtocolError as error:
@@ -277,14 +283,14 @@
         if self.ended and not self.slots:  # nothing further can come
             self.finish_up()
             return
-        fits = self.half_sent(len(self.body) + len(self.http.trailing_data[0]))
+        fits = self.set_incomplete_size(len(self.body) + len(self.http.trailing_data[0]))
         if not fits and not self.slots:
             self.turn_away(Outcome.problem(503, "too many requests are half sent", REFUSED_MS))
-        self.read_on()
+        self.update_reading()
 
-    def read_on(self) -> None:
+    def update_reading(self) -> None:
         """Guards against a client that sends on and on while it waits for an answer."""
-        super().read_on()
+        super().update_reading()
         if self.slots and self.size > MOST_AHEAD and self.transport is not None:
             self.transport.pause_reading()
 
@@ -306,7 +312,7 @@
         assert self.request is not None, "h11 gives the head first"
         headers = [(name.decode("latin-1"), value.decode("latin-1")) for name, value in self.request.headers]
         body, self.body = bytes(self.body), bytearray()
-        slot = Slot()
+        slot = ResponseSlot()
         self.slots.append(slot)
         try:
             mode, events = decode(headers, body)
@@ -319,7 +325,7 @@
         self.intake = Intake(self.acceptor, self.rules, lambda: self.answer(slot, mode, wait_s))
         self.intake.start(events, wait_s)
 
-    def answer(self, slot: Slot, mode: str, wait_s: float) -> None:
+    def answer(self, slot: ResponseSlot, mode: str, wait_s: float) -> None:
         assert self.intake is not None, "an answer follows an intake"
         outcomes = self.intake.outcomes
         applied = [(b"Preference-Applied", b"wait=%d" % wait_s)] if wait_s else []
@@ -332,11 +338,11 @@
         else:
             self.reply(slot, self.response(outcomes[0], headers=applied))
 
-    def reply(self, slot: Slot, answer: bytes) -> bool:
+    def reply(self, slot: ResponseSlot, answer: bytes) -> bool:
         written = super().reply(slot, answer)
-        if not self.open() or self.deaf:
+        if not self.is_open() or self.ignores_input:
             return written
-        if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE and not self.finishing:
+        if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE and not self.draining:
             self.http.start_next_cycle()
             self.request = None
             self.loop.call_soon(self.serve)  # not deeper and deeper into a pipeline
@@ -346,18 +352,18 @@
 
     def finish_up(self) -> None:
         """No further request is read here; the connection ends with the answer that is out."""
-        self.deaf = True
-        self.read_on()
-        self.end(Close.LEAVING if self.finishing else Close.ENDED)
+        self.ignores_input = True
+        self.update_reading()
+        self.close(CloseReason.LEAVING if self.draining else CloseReason.ENDED)
 
     def turn_away(self, outcome: Outcome) -> None:
         """An answer to what was not read whole: the rest may be anything, so the connection ends."""
-        slot = Slot()
+        slot = ResponseSlot()
         self.slots.append(slot)
-        self.half_sent(0)
+        self.set_incomplete_size(0)
         self.body.clear()
-        self.finishing = self.deaf = True
-        self.read_on()
+        self.draining = self.ignores_input = True
+        self.update_reading()
         super().reply(slot, self.response(outcome, close=True))
 
     def response(
@@ -381,7 +387,7 @@
             told.append((b"Allow", b"POST"))
         if wait_ms:
             told.append((b"Retry-After", b"%d" % math.ceil(wait_ms / 1000.0)))
-        if close or self.finishing:
+        if close or self.draining:
             told.append((b"Connection", b"close"))
         if self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return b""
--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -7,7 +7,13 @@
 import hiredis
 
 from rushhitch.acceptor import MAX_BODY_BYTES, MAX_ID_BYTES, BadRequest, Pending, Reply, Submission
-from rushhitch.fronts.client_connection import MOST_REQUEST, ClientConnection, ConnectionOwner, Fault, Slot
+from rushhitch.fronts.client_connection import (
+    MAX_REQUEST_BYTES,
+    ClientConnection,
+    ConnectionOwner,
+    ErrorReason,
+    ResponseSlot,
+)
 
 PONG = b"+PONG\r\n"
 REFUSED = Reply("refused")
@@ -110,8 +116,8 @@
             self.words, self.expected = int(told[1]), self.LENGTH
         elif self.expected is self.LENGTH:
             self.words, self.skip, self.expected = self.words - 1, int(told[1]), self.END
-            if self.size + self.skip > MOST_REQUEST:
-                self.wrong = f"a request of more than {MOST_REQUEST} bytes"
+            if self.size + self.skip > MAX_REQUEST_BYTES:
+                self.wrong = f"a request of more than {MAX_REQUEST_BYTES} bytes"
         else:
             self.expected = self.LENGTH if self.words else self.COUNT
 
@@ -126,26 +132,33 @@
         self.framing, self.reader = Framing(), hiredis.Reader(notEnoughData=NOTHING)
         self.tail = bytearray()  # of the input: the request that has not come whole
 
-    def error(self, text: str, fault: Fault) -> bytes:
-        return self.turned_away() if fault is Fault.LEAVING else error_line(text)
+    def error(self, text: str, fault: ErrorReason) -> bytes:
+        return self.refusal() if fault is ErrorReason.LEAVING else error_line(text)
 
-    def turned_away(self) -> bytes:
+    def refusal(self) -> bytes:
         return answer_line(REFUSED)
 
     def data_received(self, data: bytes) -> None:
-        if self.deaf or self.input_closed:
+        if self.ignores_input or self.input_closed:
             return
-        self.heard()
+        self.mark_received()
         self.reader.feed(data[: self.framing.follow(data)])
         self.tail += data
         del self.tail[: len(self.tail) - self.framing.size]
-        if not self.half_sent(self.framing.size):
+        if not self.set_incomplete_size(self.framing.size):
             self.framing.wrong = self.framing.wrong or "too many requests are half sent"
         if self.resting is None:
             self.serve()
 
     def transferable_input(self) -> bytes | None:
-        if self.slots or self.resting or self.deaf or self.full or self.finishing or self.input_closed:
+        if (
+            self.slots
+            or self.resting
+            or self.ignores_input
+            or self.write_paused
+            or self.draining
+            or self.input_closed
+        ):
             return None
         return bytes(self.tail)
 
@@ -161,11 +174,11 @@
         if rest_s:
             self.rest(rest_s)
             return
-        if self.framing.wrong and not self.deaf:
-            self.refuse(self.framing.wrong, Fault.BAD)
-        self.read_on()
-        if self.finishing:
-            self.close_between()
+        if self.framing.wrong and not self.ignores_input:
+            self.refuse(self.framing.wrong, ErrorReason.BAD)
+        self.update_reading()
+        if self.draining:
+            self.close_if_idle()
 
     def serve_burst(self) -> float:
         """Take some requests; for how many seconds nothing more is served, 0 where no whole one is left."""
@@ -186,35 +199,35 @@
             self.framing.wrong = f"Protocol error: {error}"
             return NOTHING
 
-    def serve_out(self) -> None:
+    def answer_unserved(self) -> None:
         """What was read whole while the connection rested is refused: nobody may be there to hear more."""
         if self.resting is None:
             return
         self.resting.cancel()
         self.resting = None
         while (words := self.next_request()) is not NOTHING:
-            slot = Slot()
+            slot = ResponseSlot()
             self.slots.append(slot)
             asked = words[0].upper() == b"PING"
-            self.reply(slot, PONG if asked else self.turned_away())
+            self.reply(slot, PONG if asked else self.refusal())
 
     def rest(self, seconds: float) -> None:
         self.resting = self.loop.call_later(seconds, self.serve)
-        self.read_on()
+        self.update_reading()
 
-    def answer(self, slot: Slot, reply: Reply) -> bool:
+    def answer(self, slot: ResponseSlot, reply: Reply) -> bool:
         """What became of an offer; False where an acceptance did not reach the system whole, in this step."""
         if reply.status == "taken":
             if self.reachable(slot):
-                return self.reply_at_once(slot, answer_line(reply))
+                return self.reply_now(slot, answer_line(reply))
             if slot.handles:  # its client has gone since the core looked
-                self.reply(slot, self.turned_away())
+                self.reply(slot, self.refusal())
                 return False
         return self.reply(slot, answer_line(reply))  # also of a message that was accepted before, once
 
     def request(self, words: list[bytes]) -> bool:
         """Whether the request makes sense."""
-        slot = Slot()
+        slot = ResponseSlot()
         self.slots.append(slot)
         command = words[0].upper()
         try:
@@ -229,13 +242,13 @@
                 )
                 if slot.accepted and handle:  # a message that was accepted before
                     self.receipts.accepted(handle, self.loop.time())
-                    self.watch_receipts()
+                    self.schedule_receipt_check()
                 elif not slot.answer:
                     slot.handles.append(handle)
             else:
                 raise BadRequest(f"unknown command or wrong number of words: {words[0][:40]!r}")
         except Pending:
-            self.reply(slot, self.turned_away())
+            self.reply(slot, self.refusal())
         except BadRequest as error:
             self.reply(slot, error_line(str(error)))
             return False
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,54 +13,57 @@
 
 from rushhitch.acceptor import ACCEPTED
 from rushhitch.fronts import admission, listener
-from rushhitch.fronts.admission import Standing, order
+from rushhitch.fronts.admission import ConnectionActivity, eviction_order
 from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.fronts.resp2 import Resp2Connection
 
 NOW = 100.0
 
 
-def standing(waited=1.0, still=1.0, **told):
-    return Standing(NOW - waited, NOW - waited, NOW - still, **told)
+def activity(waited=1.0, still=1.0, **told):
+    return ConnectionActivity(NOW - waited, NOW - waited, NOW - still, **told)
 
 
 def test_strangers_go_first_then_those_that_stopped_then_those_that_were_served():
     crowd = {
-        "served": standing(50.0, asked=True),
-        "served, just now": standing(0.1, 0.1, asked=True),
-        "stopped": standing(1.5, 0.6, size=10),
-        "silent": standing(1.0),
-        "silent longer": standing(1.9, 1.9),
-        "has just come": standing(0.1, 0.1),
-        "sending": standing(1.9, 0.1, size=10),
-        "served, sending": standing(1.0, 0.6, size=10, asked=True),
-        "waits": standing(0.1, 0.1, asked=True, waits=True),
+        "served": activity(50.0, asked=True),
+        "served, just now": activity(0.1, 0.1, asked=True),
+        "stopped": activity(1.5, 0.6, size=10),
+        "silent": activity(1.0),
+        "silent longer": activity(1.9, 1.9),
+        "has just come": activity(0.1, 0.1),
+        "sending": activity(1.9, 0.1, size=10),
+        "served, sending": activity(1.0, 0.6, size=10, asked=True),
+        "waits": activity(0.1, 0.1, asked=True, awaiting_answer=True),
     }
-    found = order(crowd.items(), NOW)
+    found = eviction_order(crowd.items(), NOW)
     assert found == ["silent longer", "silent", "stopped", "has just come", "served", "served, just now"]
 
 
 @pytest.mark.parametrize(
     "told, overdue",
     [
-        (standing(1.9), False),
-        (standing(2.1, 2.1), True),  # it has said nothing
-        (standing(2.1, 0.7, size=5), True),  # it stopped
-        (standing(2.4, 0.1, size=5), False),  # it sends in pieces
-        (standing(2.65, 0.1, size=5), True),  # but not for ever
-        (standing(9.0, 0.1, asked=True), False),
-        (standing(2.4, 0.1, size=5, asked=True), False),
-        (standing(9.0, 9.0, waits=True), False),
-        (Standing(NOW - 2.75, NOW - 1.0, NOW - 0.1, size=5), True),  # a stranger is owed an end by 3 s
-        (Standing(NOW - 2.75, NOW - 1.0, NOW - 0.1, size=5, asked=True), False),
+        (activity(1.9), False),
+        (activity(2.1, 2.1), True),  # it has said nothing
+        (activity(2.1, 0.7, size=5), True),  # it stopped
+        (activity(2.4, 0.1, size=5), False),  # it sends in pieces
+        (activity(2.65, 0.1, size=5), True),  # but not for ever
+        (activity(9.0, 0.1, asked=True), False),
+        (activity(2.4, 0.1, size=5, asked=True), False),
+        (activity(9.0, 9.0, awaiting_answer=True), False),
+        (
+            ConnectionActivity(NOW - 2.75, NOW - 1.0, NOW - 0.1, size=5),
+            True,
+        ),  # a stranger is owed an end by 3 s
+        (ConnectionActivity(NOW - 2.75, NOW - 1.0, NOW - 0.1, size=5, asked=True), False),
     ],
 )
 def test_a_request_may_take_as_long_as_it_makes_progress_and_strangers_have_an_end(told, overdue):
     assert told.overdue(NOW) is overdue
 
 
-standings = st.builds(
-    Standing,
+activities = st.builds(
+    ConnectionActivity,
     st.floats(90, 100),
     st.floats(90, 100),
     st.floats(90, 100),
@@ -70,14 +73,14 @@
 )
 
 
-@given(st.lists(standings, max_size=20))
+@given(st.lists(activities, max_size=20))
 def test_nobody_with_an_answer_due_and_no_sender_gives_way_and_nobody_twice(crowd):
-    found = order(enumerate(crowd), NOW)
+    found = eviction_order(enumerate(crowd), NOW)
     assert len(set(found)) == len(found)
     for number, told in enumerate(crowd):
-        protected = told.waits or (told.size > 0 and not told.stalled(NOW))
+        protected = told.awaiting_answer or (told.size > 0 and not told.stalled(NOW))
         assert not (protected and number in found)
-        assert told.waits or told.size or number in found
+        assert told.awaiting_answer or told.size or number in found
 
 
 def test_a_choice_among_many_serves_for_the_newcomers_of_a_moment(monkeypatch):
@@ -85,12 +88,14 @@
     async def work():
         server, choices = ConnectionManager(Acceptor(), 100), []
 
-        def counted(standings, now):
+        def counted(activities, now):
             choices.append(now)
-            return order(standings, now)
+            return eviction_order(activities, now)
 
-        monkeypatch.setattr(listener, "order", counted)
-        monkeypatch.setattr(listener, "CHOSEN_S", 1000.0)  # the moment does not end on a slow machine
+        monkeypatch.setattr(listener, "eviction_order", counted)
+        monkeypatch.setattr(
+            listener, "CANDIDATES_VALID_S", 1000.0
+        )  # the moment does not end on a slow machine
         server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         served = await connect(server)
         assert await served.ask(b"PING") == b"+PONG\r\n"
--- a/tests/test_fronts_cloudevents.py
+++ b/tests/test_fronts_cloudevents.py
@@ -29,10 +29,10 @@
 class Front:
     """A core with one partner that the test plays, and both fronts before it."""
 
-    async def start(self, folder, most=16, most_begun=4_000_000):
+    async def start(self, folder, most=16, max_incomplete_bytes=4_000_000):
         self.core = await Bench().start(folder)
         self.partner, self.node = self.core.partner, self.core.node
-        self.clients = ConnectionManager(self.node, most, most_begun)
+        self.clients = ConnectionManager(self.node, most, max_incomplete_bytes)
         self.http = self.clients.listen(("127.0.0.1", 0), "cloudevents", front(RULES))
         self.resp2 = self.clients.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         return self
@@ -385,7 +385,7 @@
         for _ in range(MOST_BATCH // 65_536 + 1):
             client.writer.write(chunk)
         assert (await client.answer())[0] == 413
-        assert front.clients.begun == 0
+        assert front.clients.incomplete_bytes == 0
 
 
 def test_a_chunked_body_and_expect_continue_are_served(tmp_path):
@@ -443,15 +443,15 @@
         client = await front.connect()
         client.writer.write(said)
         assert (await client.answer())[0] == 408
-        assert await client.closed() and front.clients.begun == 0
+        assert await client.closed() and front.clients.incomplete_bytes == 0
 
 
 def test_half_sent_bytes_are_bounded_over_both_fronts(tmp_path):
-    @with_front(tmp_path, most_begun=50_000)
+    @with_front(tmp_path, max_incomplete_bytes=50_000)
     async def _(front):
         raw = Resp2Client(*await asyncio.open_connection(*front.resp2))
         raw.writer.write(b"*5\r\n$60000\r\n" + bytes(40_000))
-        while front.clients.begun < 40_000:
+        while front.clients.incomplete_bytes < 40_000:
             await asyncio.sleep(0.01)
         client = await front.connect()
         client.writer.write(b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n" + bytes(20_000))
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -317,18 +317,18 @@
 def test_requests_that_are_half_sent_take_no_more_memory_than_they_may():
     @with_server()
     async def _(server, acceptor):
-        server.most_begun = 100_000
+        server.max_incomplete_bytes = 100_000
         half = [await connect(server) for _ in range(2)]
         for client in half:
             client.writer.write(b"*1\r\n$65000\r\n" + bytes(60_000))
-            while server.begun < 60_000:
+            while server.incomplete_bytes < 60_000:
                 await asyncio.sleep(0)
         assert b"half sent" in await half[1].line() and await half[1].line() == b""
-        while server.begun > 100_000:
+        while server.incomplete_bytes > 100_000:
             await asyncio.sleep(0)
         half[0].writer.write(bytes(5_000) + b"\r\n")
         assert (await half[0].line()).startswith(b"-ERR unknown command")
-        assert server.begun == 0
+        assert server.incomplete_bytes == 0
 
 
 def test_many_requests_at_once_are_served_in_turns_and_none_is_lost(monkeypatch):
@@ -358,7 +358,7 @@
         client.send(b"PING")
         assert await good.ask(b"PING") == b"+PONG\r\n"
         (served,) = (client for client in server.clients if client.resting)
-        assert not served.transport.is_reading() and served.unread()
+        assert not served.transport.is_reading() and served.has_unread_input()
         served.serve()
         assert await client.line() == b"+PONG\r\n"
 
@@ -421,7 +421,7 @@
             await loop.sock_sendall(sock, 2 * pack(ADD))
             answers = [(await acceptor.offers.get())[1] for _ in range(2)]
             (connection,) = server.clients
-            connection.finishing = True
+            connection.draining = True
             sock.send(pack(ADD))  # in the very moment, and unread
             for answer in answers:
                 answer(ACCEPTED)
