--- a/rushhitch/fronts/client_connection.py
+++ b/rushhitch/fronts/client_connection.py
@@ -1,4 +1,4 @@
-"""What the client connections of all fronts have in common: answers in order, bounds, and how they end."""
+"""Client connections, the part common to all fronts: ordered answers, resource limits, closing."""
 
 from __future__ import annotations
 
@@ -19,39 +19,39 @@
 
 log = logging.getLogger(__name__)
 
-MAX_REQUEST_BYTES = 69_632  # bytes of a request of one message: its body and 4 KiB
+MAX_REQUEST_BYTES = 69_632  # of a request with one message: its body and 4 KiB
 NOT_CONFIRMED = "its client's system did not confirm the answer in time"
-MAX_UNSENT_BYTES = 256  # bytes of answers to a burst of requests: beyond that, the client does not read them
+MAX_UNSENT_BYTES = 256  # of answers to a pipelined burst; with more unsent, the client is not reading them
 
 
 class ConnectionOwner(Protocol):
-    """What holds the connections of all fronts, within bounds that they share."""
+    """Holds the connections of all fronts, within limits that they share."""
 
     acceptor: Acceptor
-    incomplete_bytes: int  # bytes of requests that are half sent
+    incomplete_bytes: int  # of requests received in part
     max_incomplete_bytes: int
-    clients: dict[ClientConnection, None]  # in the order in which they were last heard
-    connecting: dict[ClientConnection, None]  # accepted, and not set up yet
-    closed: Counter[str]  # connections, by why this side closed them
+    clients: dict[ClientConnection, None]  # least recently active first
+    connecting: dict[ClientConnection, None]  # accepted, transport not set up yet
+    closed: Counter[str]  # connections closed by this side, by `CloseReason`
 
     def mark_active(self, client: ClientConnection) -> None:
-        """Bytes of it have come."""
+        """Called when bytes arrive from the client."""
 
     def make_room(self) -> bool:
-        """Whether there is room for one more."""
+        """Whether there is room for one more connection, evicting one if needed."""
 
 
 class ResponseSlot:
-    """The place of one request's answer among those of its connection."""
+    """One request's place in the queue of answers of its connection."""
 
     def __init__(self) -> None:
         self.answer = b""
-        self.accepted = False  # its message was, by an answer that is in the system's hands
-        self.handles: list[int] = []  # of offers that have no answer yet
+        self.accepted = False  # the kernel has taken the answer that accepts the message
+        self.handles: list[int] = []  # of submissions not answered yet
 
 
 class ErrorReason(Enum):
-    """Why a connection is ended with an error."""
+    """Why a connection is closed with an error answer."""
 
     BAD = "it sent what cannot be read"
     LATE = "what was due of it did not come"
@@ -60,31 +60,30 @@
 
 
 class CloseReason(Enum):
-    """Why a client's connection is closed by this side."""
+    """Why this side closes a client's connection; the values appear in counters and logs."""
 
-    REFUSED = "refused"  # it sent what cannot be read, or too slowly, or there was no room for it
-    IDLE = "idle"  # it stood between requests for long
-    MADE_ROOM = "made_room"  # another came, and it stood between requests
-    ENDED = "ended"  # its client has ended its sending, or asked for the end
-    STUCK = "stuck"  # it does not take its answers
-    LEAVING = "leaving"  # the process ends
+    REFUSED = "refused"  # input malformed or too slow, or too many connections
+    IDLE = "idle"  # no request for `admission.IDLE_S`
+    MADE_ROOM = "made_room"  # evicted between requests for a new connection
+    ENDED = "ended"  # the client closed its sending side or asked for a close
+    STUCK = "stuck"  # the client does not read its answers
+    LEAVING = "leaving"  # this process shuts down
 
 
 @dataclass(frozen=True, slots=True)
 class TransferredConnection:
-    """What goes with a client's connection that another process passes on: the part of a request that has
-    come, whether it has made one before, when it was last heard (by the clock that both processes have), and
-    the messages whose acceptances it may not have heard."""
+    """State that goes with a client's connection handed over by another process."""
 
-    tail: bytes
-    asked: bool
-    heard_at: float
-    doubtful: list[int]
+    tail: bytes  # of a request received in part
+    asked: bool  # it has made a valid request
+    heard_at: float  # as in `ClientConnection`, in seconds of the monotonic clock that both processes share
+    doubtful: list[int]  # handles of messages whose acceptance the client may not have received
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client connection; answers go out in the order of the requests. A front says how requests are read
-    (`data_received`, which tells `set_incomplete_size` what it holds) and how an error looks (`error`)."""
+    """One client connection; answers go out in the order of the requests. A front implements
+    `data_received`, which must report buffered input by `set_incomplete_size`, and the answers `error` and
+    `refusal`."""
 
     name = ""  # of the front
 
@@ -93,43 +92,43 @@
         self.loop = asyncio.get_running_loop()
         self.slots: deque[ResponseSlot] = deque()
         self.transport: asyncio.Transport | None = None
-        self.sock: socket.socket | None = None  # that of the transport
-        self.resting: asyncio.TimerHandle | None = None  # until then nothing more of it is served
-        self.heard_at = self.loop.time()  # when it connected, began a request or had its last answer
+        self.sock: socket.socket | None = None  # of the transport
+        self.resting: asyncio.TimerHandle | None = None  # no requests are served until it fires
+        self.heard_at = self.loop.time()  # connected, began a request or was last answered
         self.connected_at = self.last_byte_at = self.heard_at
-        self.size = 0  # bytes of a request that has not come whole
-        self.asked = False  # it has made a request that makes sense
-        self.write_paused = False  # it does not take its answers
-        self.ignores_input = False  # it sent what can't be read: nothing more is
-        self.draining = False  # it is closed as soon as no request is under way
-        self.serving = False  # in the middle of taking requests from its reader
-        self.close_reason = CloseReason.LEAVING  # it finishes
-        self.input_closed = False  # the client has ended its sending, or nothing more is read of it
-        self.has_room: bool | None = None  # whether there was room for it as it was accepted
+        self.size = 0  # bytes of the request received in part
+        self.asked = False  # it has made a valid request
+        self.write_paused = False  # the client does not read its answers
+        self.ignores_input = False  # after malformed input
+        self.draining = False  # closes as soon as no request is open
+        self.serving = False  # in the loop that takes requests from the reader
+        self.close_reason = CloseReason.LEAVING  # used when draining ends
+        self.input_closed = False  # the client closed its sending side
+        self.has_room: bool | None = None  # as found at accept; None if not checked
         self.receipts = Receipts()
-        self.receipt_check_timer: asyncio.TimerHandle | None = None  # the next look at what is in doubt
-        self.write_failed = False  # the client does not take what is written
-        self.half_closed = False  # it ended its sending, and nothing has been written to it since
+        self.receipt_check_timer: asyncio.TimerHandle | None = None
+        self.write_failed = False
+        self.half_closed = False  # by the client, and nothing was written since
 
     def error(self, text: str, fault: ErrorReason) -> bytes:
-        """An error as the front's protocol has it, for what cannot be read."""
+        """The front's error answer, after which the connection is closed."""
         raise NotImplementedError
 
     def refusal(self) -> bytes:
-        """The answer to a request that is refused: nothing was done for it, and it may come again."""
+        """The answer to a request for which nothing was done, so that the client may repeat it."""
         raise NotImplementedError
 
     def answer_unserved(self) -> None:
-        """Answer the requests that were read whole and not taken yet, in this step."""
+        """Answer complete requests that have not been served, without waiting."""
 
     def set_incomplete_size(self, size: int) -> bool:
-        """So many bytes of a request have come without its end; False if all together hold too many."""
+        """Note how many bytes of an incomplete request are buffered. Returns False if all connections
+        together exceed their limit."""
         self.server.incomplete_bytes += size - self.size
         self.size = size
         return self.server.incomplete_bytes <= self.server.max_incomplete_bytes
 
     def mark_received(self) -> None:
-        """Bytes have come."""
         self.server.mark_active(self)
         self.last_byte_at = self.loop.time()
         if not self.size:
@@ -169,7 +168,7 @@
             self.abandon_unconfirmed(Ending.RESET)
 
     def abandon_unconfirmed(self, ending: Ending) -> None:
-        """The client has gone: tell the core which acceptances it may not have heard."""
+        """The client has gone: abandon the messages whose acceptance it may not have received."""
         if not self.receipts.doubtful:
             return
         assert self.sock is not None, "it has had answers"
@@ -177,16 +176,16 @@
             self.acceptor.abandon(handle, ending.value)
 
     def schedule_receipt_check(self) -> None:
-        """Look soon whether the client is still there, where one of its answers is in doubt."""
+        """If receipt of an answer is in doubt, check soon whether the client is still connected."""
         if self.receipts.doubtful and self.receipt_check_timer is None:
             self.receipt_check_timer = self.loop.call_later(BLIND_DOUBT_S, self.check_receipts)
 
     def check_receipts(self) -> None:
-        """A timer, so that the loop has read by now what had come of the connection."""
+        """Runs from a timer, by which time the loop has read the input that had arrived."""
         self.receipt_check_timer = None
         if self.sock is None or not self.is_open():
             return
-        self.check_client()  # what has come may be unread, while the connection rests
+        self.check_client()  # input stays unread while `resting`
         now, unconfirmed = self.loop.time(), unacknowledged(self.sock)
         for handle in self.receipts.overdue(unconfirmed, now):
             self.acceptor.abandon(handle, NOT_CONFIRMED)
@@ -195,8 +194,8 @@
             self.receipt_check_timer = self.loop.call_at(again_at, self.check_receipts)
 
     def check_client(self, seen: Ending | None = None) -> None:
-        """See whether the client has gone in the meantime, before anything is done for it; `seen` is how, as
-        far as that was read. A reset may stand behind an end of input, which is read first."""
+        """Abandon unconfirmed messages if the client has gone; called before anything is done for it. `seen`
+        is the ending already read: a reset may follow an end of input, which is read first."""
         if not self.receipts.doubtful:
             return
         assert self.sock is not None, "it has had answers"
@@ -204,7 +203,7 @@
             self.abandon_unconfirmed(ending)
 
     def update_reading(self) -> None:
-        """Read, or stop reading, as its state has it."""
+        """Pause or resume reading according to the state."""
         if self.transport is not None and not self.transport.is_closing():
             if self.ignores_input or self.write_paused or self.resting:
                 self.transport.pause_reading()
@@ -216,8 +215,8 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def reachable(self, slot: ResponseSlot) -> bool:
-        """Whether an answer to that request would reach the system in this step, for a client that is still
-        there and reads: none stands before it, and the client has not ended its side."""
+        """Whether the kernel would take an answer to this request now, from a client that is still connected
+        and reading: no other answer is due first, and the client has not closed its side."""
         if not self.is_open() or not self.slots or self.slots[0] is not slot:
             return False
         assert self.transport is not None and self.sock is not None, "it is open"
@@ -230,8 +229,8 @@
         return unsent(self.sock) <= MAX_UNSENT_BYTES
 
     def reply(self, slot: ResponseSlot, answer: bytes) -> bool:
-        """Answer a request, once those before it have their answers. False where the connection is gone, also
-        if that shows only as this answer is written."""
+        """Answer a request once those before it are answered. Returns False if the connection is gone, even
+        if only this write shows it."""
         slot.answer = answer
         slot.handles.clear()
         if not self.is_open():
@@ -240,16 +239,15 @@
         return self.write_answers()
 
     def reply_now(self, slot: ResponseSlot, answer: bytes) -> bool:
-        """Answer a request that is `reachable` in this step, past all buffers of the process. False where the
-        system does not take the whole of the answer: then the client is refused or, where it had a part, sees
-        its connection end."""
+        """Answer a `reachable` request directly on the socket, past all buffers of the process. Returns False
+        if the kernel does not take the whole answer; the client is then refused or, if part of the answer
+        went out, its connection is aborted."""
         assert self.sock is not None, "it is reachable"
         handles, slot.handles = slot.handles, []
         self.heard_at = self.loop.time()
         try:
-            sent = self.sock.send(
-                answer
-            )  # as little as may be follows: until the core notes it, it is in doubt
+            # Do little after this: until the core has noted the acceptance, its receipt is in doubt.
+            sent = self.sock.send(answer)
         except BlockingIOError:
             self.reply(slot, self.refusal())
             return False
@@ -269,7 +267,7 @@
         return True
 
     def write_answers(self) -> bool:
-        """Write the answers that no other stands before. False where the connection broke under them."""
+        """Write the answers whose turn it is. Returns False if the connection broke."""
         assert self.transport is not None, "it is open"
         while self.slots and self.slots[0].answer:
             answer = self.slots.popleft().answer
@@ -286,14 +284,13 @@
         return written
 
     def ignore_expected_reset(self) -> None:
-        """A client that has left in order meets what is written to it with a reset, which proves nothing; one
-        that still listens does not."""
+        """A client that closed in order resets on a later write. That reset must not count as an unread
+        answer; a client that is half-closed and still reading sends none."""
         if self.sock is not None and ending_of(self.sock) is Ending.RESET:
             self.receipts.left()
 
     def withdraw_requests(self) -> None:
-        """Nobody may hear the answers to what was read: nothing is done for it, and whoever still listens is
-        told so."""
+        """The client may be gone: withdraw the open requests and refuse them, in case it still reads."""
         for slot in list(self.slots):
             if slot.answer:
                 continue
@@ -303,9 +300,10 @@
             self.reply(slot, self.refusal())
 
     def eof_received(self) -> bool:
-        """The client has ended its sending. It may have gone, and have handed its requests in elsewhere: what
-        is not accepted yet is refused, which is right for one that still listens as well. Where it may not
-        have read its last answer the connection stays a moment: its client may close over that."""
+        """The client has closed its sending side. It may have gone and submitted its requests elsewhere, so
+        what is not accepted yet is refused, which is also valid for a client that still reads. If receipt of
+        an answer is in doubt the connection stays open for `SLACK_S`, so that a reset can still show that the
+        client closed without reading."""
         self.input_closed = True
         self.check_client(Ending.INPUT_ENDED)
         self.answer_unserved()
@@ -322,7 +320,7 @@
         self.close(CloseReason.ENDED)  # once its answers are written
 
     def refuse(self, text: str, fault: ErrorReason) -> None:
-        """Say what is wrong, after the answers that are due, and close."""
+        """Send an error after the answers that are due, and close."""
         self.answer_unserved()
         slot = ResponseSlot()
         self.slots.append(slot)
@@ -332,18 +330,19 @@
         self.reply(slot, self.error(text, fault))
 
     def has_unread_input(self) -> bool:
-        """Whether something waits to be read."""
+        """Whether the socket has input (or an end of input) that was not read."""
         assert self.transport is not None, "there is no connection yet"
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
     def is_idle(self) -> bool:
-        """Whether it stands between two requests, as far as they were read."""
+        """Whether no request is open, as far as input was read."""
         return self.ignores_input or not (self.slots or self.size or self.resting or self.serving)
 
     def close_when_idle(self, why: CloseReason = CloseReason.LEAVING) -> bool:
-        """Close between requests: at once if none is under way, nor waits to be read."""
+        """Close at once if no request is open or unread, else when the open ones are answered. Returns
+        whether the connection is closed."""
         if not self.draining:
             self.draining, self.close_reason = True, why
         if self.transport is not None and not self.transport.is_closing() and not self.has_unread_input():
@@ -351,7 +350,8 @@
         return self.transport is None or self.transport.is_closing()
 
     def evict(self) -> bool:
-        """Make room for another. One that has stopped within a request hears why."""
+        """Make room for another connection; a client that stalled within a request gets an error. Returns
+        whether the connection is closed."""
         if self.size and not self.ignores_input:
             if not self.has_unread_input():
                 self.refuse("too many clients are connected", ErrorReason.CROWD)
@@ -359,7 +359,7 @@
             self.close_when_idle(CloseReason.MADE_ROOM)
             if self.transport is not None and self.transport.is_closing():
                 if self.transport.get_write_buffer_size():
-                    self.close(CloseReason.STUCK, abort=True)  # it would keep its descriptor
+                    self.close(CloseReason.STUCK, abort=True)  # else it keeps its file descriptor
         return self.transport is None or self.transport.is_closing()
 
     def close_if_idle(self) -> None:
@@ -367,17 +367,20 @@
             self.close(self.close_reason)
 
     def close(self, why: CloseReason, abort: bool = False) -> None:
-        """Close the connection; the only place that does. With `abort`, what was not taken of its answers is
-        given up. A request that was read has its answer before."""
+        """Close the connection; no other code closes its transport. With `abort`, unsent answers are
+        discarded. Callers must have answered every request before."""
         if self.transport is None:
             return
         if any(not slot.answer for slot in self.slots):
             self.server.closed["with_requests"] += 1
-            log.error("a connection is closed under its requests", extra={"reason": why.value})
+            log.error(
+                "client connection closed with unanswered requests; refusing them",
+                extra={"reason": why.value},
+            )
             self.withdraw_requests()
         if not self.transport.is_closing():
             self.server.closed[why.value] += 1
-            log.debug("a connection is closed", extra={"reason": why.value})
+            log.debug("client connection closed", extra={"reason": why.value})
         if abort:
             self.write_failed = True
             self.transport.abort()
@@ -385,8 +388,8 @@
             self.transport.close()
 
     def shut_down(self) -> None:
-        """The process ends: in this step, all that was read is answered and the connection is closed. A
-        request of which only a part has come is refused."""
+        """Answer every request read so far and close, without waiting; refuse a partial one. Called as
+        the process shuts down."""
         self.draining = True
         self.check_client()
         self.answer_unserved()
@@ -396,12 +399,12 @@
         self.close(CloseReason.LEAVING)
 
     def transferable_input(self) -> bytes | None:
-        """What was read of a request that has not come whole, for another process to read on; None where the
-        connection cannot be passed on as it stands."""
+        """The bytes read of a partial request, with which another process continues; None while the
+        connection cannot be handed over."""
         return None
 
     def resume(self, adopted: TransferredConnection) -> None:
-        """Go on where another process stopped reading."""
+        """Continue where the process that handed the connection over stopped reading."""
         self.asked = adopted.asked
         for handle in adopted.doubtful:
             self.receipts.accepted(handle, self.loop.time())
@@ -412,14 +415,15 @@
         self.heard_at = adopted.heard_at
 
     def enforce_timeouts(self, now: float) -> None:
-        """Guards against clients that say nothing, or half a request, or keep a connection for good."""
+        """Close the connection of a client that is silent, stalls within a request, idles for too long or
+        does not read its last answers. Called periodically; `now` is loop time in seconds."""
         activity = self.activity
         if self.transport is None:
             return
         if self.transport.is_closing() or self.ignores_input:
             unanswered = any(not slot.answer for slot in self.slots)
             if now - self.heard_at >= admission.SILENT_S and not unanswered:
-                self.close(CloseReason.STUCK, abort=True)  # it does not take its last answers
+                self.close(CloseReason.STUCK, abort=True)
         elif activity.overdue(now):
             if self.has_unread_input():
                 return
@@ -429,7 +433,7 @@
             self.close_when_idle(CloseReason.IDLE)
 
     def pause_writing(self) -> None:
-        """Guards against a client that asks on and on but takes no answers."""
+        """Stops reading, since a client that pipelines without reading answers would fill memory."""
         self.write_paused = True
         self.update_reading()
 
