--- a/rushhitch/fronts/admission.py
+++ b/rushhitch/fronts/admission.py
@@ -1,10 +1,9 @@
-"""Who gives way where there are more connections than room, and how long a request may take to come. No I/O.
+"""Connection eviction order and request timeouts. No I/O.
 
-A connection whose request was read and has no answer never gives way. Nor does one that is sending: it may be
-a client on a slow way, and closing it would only make it come again. The others go in this order: strangers
-that have said nothing for a while, strangers that have stopped in the middle of a request, strangers that
-have just come, and those that were served before and stand between requests; of each the one that has waited
-longest.
+A connection with an open request is never evicted. Nor is one that is sending: it may be a client on a slow
+link, and closing it would only make it reconnect. The others are evicted in this order: new connections (no
+valid request yet) that have been silent for a while, new ones stalled within a request, new ones that have
+just connected, and idle ones that were served before; within each group the least recently active first.
 """
 
 from __future__ import annotations
@@ -13,30 +12,32 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-FRESH_S = 0.25  # since it connected: its first bytes may be on their way
-STALLED_S = 0.5  # without a byte in the middle of a request: a slow sender's pieces come sooner
-SILENT_S = 2.0  # a connection that says nothing, or stops within a request, is ended after so long
-PIECES_S = 2.6  # one that sends in pieces, from its first byte: clients need up to 2 s, and strangers are
-FIRST_S = 2.7  # owed an end within 3 s of connecting, a look for them included
-IDLE_S = 6.0  # one that stands between requests
+FRESH_S = 0.25  # after connecting: the first bytes may still be in transit
+STALLED_S = 0.5  # without a byte within a request: pieces of a slow sender arrive sooner
+SILENT_S = 2.0  # limit for a connection that sends nothing, or stalls within a request
+PIECES_S = 2.6  # limit for a request sent in pieces, from its first byte: clients need up to 2 s
+FIRST_S = (
+    2.7  # limit for the first request: it must be over within 3 s of connecting, sweep interval included
+)
+IDLE_S = 6.0  # limit between requests
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionActivity:
-    """What is known of a connection; times in seconds on one clock."""
+    """State of a connection that decides on eviction and timeouts; times in seconds of one clock."""
 
     connected_at: float
-    heard_at: float  # it connected, began a request, or had its last answer
-    last_byte_at: float  # its newest byte
-    size: int = 0  # bytes of a request that has not come whole
-    asked: bool = False  # it has made a request that makes sense
-    awaiting_answer: bool = False  # for an answer
+    heard_at: float  # connected, began a request or was last answered
+    last_byte_at: float
+    size: int = 0  # bytes of the request received in part
+    asked: bool = False  # it has made a valid request
+    awaiting_answer: bool = False
 
     def stalled(self, now: float) -> bool:
         return now - self.last_byte_at >= STALLED_S
 
     def overdue(self, now: float) -> bool:
-        """Whether the request that it began, or its first one, ought to have come by now."""
+        """Whether the request it began, or its first one, has taken too long to arrive."""
         if self.awaiting_answer or (self.asked and not self.size):
             return False
         waited = now - self.heard_at
@@ -45,11 +46,11 @@
         return waited >= PIECES_S or (not self.asked and now - self.connected_at >= FIRST_S)
 
     def idle(self, now: float) -> bool:
-        """Whether it has stood between requests for long enough."""
+        """Whether it has had no request for `IDLE_S`."""
         return self.asked and not (self.size or self.awaiting_answer) and now - self.heard_at >= IDLE_S
 
     def eviction_rank(self, now: float) -> int | None:
-        """Its place in the order; None if it stays."""
+        """Its group in the eviction order, lowest first; None if it must not be evicted."""
         if self.awaiting_answer:
             return None
         if self.size:
@@ -59,14 +60,14 @@
         return 2 if now - self.connected_at < FRESH_S else 0
 
 
-Who = TypeVar("Who")
+Key = TypeVar("Key")
 
 
-def eviction_order(activities: Iterable[tuple[Who, ConnectionActivity]], now: float) -> list[Who]:
-    """Those that give way to a newcomer, the first of them first."""
+def eviction_order(activities: Iterable[tuple[Key, ConnectionActivity]], now: float) -> list[Key]:
+    """The connections that may be evicted, in the order in which to evict them."""
     found = [
-        (place, activity.heard_at, number, who)
-        for number, (who, activity) in enumerate(activities)
-        if (place := activity.eviction_rank(now)) is not None
+        (rank, activity.heard_at, number, key)
+        for number, (key, activity) in enumerate(activities)
+        if (rank := activity.eviction_rank(now)) is not None
     ]
-    return [who for *_, who in sorted(found, key=lambda entry: entry[:3])]
+    return [key for *_, key in sorted(found, key=lambda entry: entry[:3])]
