--- a/rushhitch/fronts/receipts.py
+++ b/rushhitch/fronts/receipts.py
@@ -1,8 +1,8 @@
-"""Which acceptances a client may not have heard, by how its connection ended. No I/O, no clock.
+"""Which acceptances a client may not have received, by how its connection ended. No I/O, no clock.
 
-An answer that the system has taken is not heard yet: the client may have closed its connection before, and
-the system learns of that only once the answer meets a socket that is gone. A client that has not heard hands
-its message in anew, so the first one must not go on.
+An answer that the kernel has taken is not yet received: the client may have closed its connection before,
+which shows only when the answer reaches the closed socket. A client without an answer submits its message
+again, so the first one must not be delivered.
 """
 
 from __future__ import annotations
@@ -11,50 +11,49 @@
 from dataclasses import dataclass
 from enum import Enum
 
-CLIENT_WAITS_S = 0.4  # protocol page: for its answer; then it closes the connection
-SLACK_S = 0.05  # protocol page: each time limit is so much longer on sockets
-DOUBT_S = CLIENT_WAITS_S + SLACK_S  # a reset so soon may have discarded what was confirmed and not read
-BLIND_DOUBT_S = 0.01  # likewise where confirmations are not known: clients that have heard reset, too
+CLIENT_WAITS_S = 0.4  # protocol: a client waits so long for its answer, then closes the connection
+SLACK_S = 0.05  # protocol: added to each time limit on sockets
+DOUBT_S = CLIENT_WAITS_S + SLACK_S  # a reset within it may have discarded an answer acknowledged but not read
+BLIND_DOUBT_S = 0.01  # the same without acknowledgement counts: clients that have read also reset
 
 
 class Ending(Enum):
-    """How a connection ended, from the client's side."""
+    """How the client ended its connection."""
 
-    INPUT_ENDED = "its client ended its sending"  # in order: it had read what had come
-    RESET = "its client's connection broke"  # what the client had not read by then it never will
+    INPUT_ENDED = "its client ended its sending"  # in order: it had read what had arrived
+    RESET = "its client's connection broke"  # unread answers are lost
 
 
 @dataclass(frozen=True, slots=True)
 class Acceptance:
-    """One answer that a message is accepted."""
+    """An answer that accepts a message."""
 
-    handle: int  # of the message, as `Acceptor` gave it
-    answered_at: float  # by the clock of the event loop, in seconds
-    end: int  # bytes of answers on the connection, this one included
+    handle: int  # of the message, as given by `Acceptor`
+    answered_at: float  # event loop time in seconds
+    end: int  # offset of its end in the answer bytes of the connection
 
 
 class Receipts:
-    """The acceptances of one connection that its client may still turn out not to have heard."""
+    """The acceptances of one connection that its client may not have received."""
 
     def __init__(self) -> None:
-        self.written = 0  # bytes of answers that were handed to the system
+        self.written = 0  # answer bytes taken by the kernel
         self.doubtful: deque[Acceptance] = deque()
 
     def wrote(self, size: int) -> None:
-        """So many bytes of answers have been handed to the system."""
         self.written += size
 
     def accepted(self, handle: int, now: float) -> None:
-        """The bytes just written accepted that message."""
+        """The bytes just written accepted the message of `handle`; `now` is event loop time in seconds."""
         self.doubtful.append(Acceptance(handle, now, self.written))
 
     def handles(self) -> list[int]:
-        """Of the messages whose acceptances are in doubt."""
+        """Handles of the messages whose acceptances are in doubt."""
         return [acceptance.handle for acceptance in self.doubtful]
 
     def overdue(self, unacknowledged: int | None, now: float) -> list[int]:
-        """The handles of those that the client's system has not confirmed for so long that its client has
-        given up waiting. They are in doubt no longer."""
+        """Remove and return the handles that the client's TCP stack has left unacknowledged for `DOUBT_S`,
+        after which the client has given up waiting. `unacknowledged` is in bytes, None if unknown."""
         late = [
             acceptance
             for acceptance in self.doubtful
@@ -64,9 +63,8 @@
         return [acceptance.handle for acceptance in late]
 
     def still_there(self, unacknowledged: int | None, now: float) -> float | None:
-        """The client has not gone: what was answered a while ago, and is not `overdue`, is heard. Gives when
-        to look again, None where nothing is in doubt. `unacknowledged` is the number of bytes that its system
-        has not confirmed, None where that is not known."""
+        """The client is still connected: older answers that are not `overdue` count as received. Returns the
+        time of the next check, None if nothing is in doubt. `unacknowledged` is in bytes, None if unknown."""
         doubt_s = BLIND_DOUBT_S if unacknowledged is None else DOUBT_S
         while self.doubtful and now >= self.doubtful[0].answered_at + doubt_s:
             self.doubtful.popleft()
@@ -75,9 +73,8 @@
         return max(self.doubtful[0].answered_at + doubt_s, now + BLIND_DOUBT_S)
 
     def unheard(self, ending: Ending, unacknowledged: int | None) -> list[int]:
-        """The handles of those that may not have been heard, as far as it is known how the connection ended;
-        they are in doubt no longer. Where it is not known what the client's system has confirmed, how the
-        connection ended has to tell."""
+        """Remove and return the handles whose acceptance may not have been received, given how the connection
+        ended. `unacknowledged` is in bytes; if it is None, `ending` alone decides."""
         found, rest = [], deque()
         for acceptance in self.doubtful:
             if ending is Ending.RESET or self.is_unconfirmed(acceptance, unacknowledged):
@@ -88,8 +85,8 @@
         return found
 
     def left(self) -> None:
-        """The client has ended its sending in order, so it had read what was confirmed. A reset
-        that comes later is its answer to what is written later."""
+        """The client closed in order, so it had read what was acknowledged; a later reset is its reaction to
+        later writes."""
         self.doubtful.clear()
 
     def is_unconfirmed(self, acceptance: Acceptance, unacknowledged: int | None) -> bool:
