--- a/rushhitch/fronts/socket_state.py
+++ b/rushhitch/fronts/socket_state.py
@@ -1,4 +1,4 @@
-"""What the system knows of a client that has gone, or does not read: looks at its socket that do not wait."""
+"""Non-blocking checks of a socket: whether the client has closed it, and what it has not acknowledged."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from rushhitch.fronts.receipts import Ending
 
 TCP_INFO_SIZE = 104  # bytes of `struct tcp_info` (linux/tcp.h) up to its first counters
-RETRANSMISSION_TIMEOUT = slice(8, 12)  # its `tcpi_rto`
-SIOCOUTQNSD = 0x894B  # linux/sockios.h: bytes in the send queue that have not been sent
-INPUT_ENDED = getattr(select, "POLLRDHUP", 0)  # Linux; elsewhere an end of input shows as the input is read
+RETRANSMISSION_TIMEOUT = slice(8, 12)  # `tcpi_rto` in it
+SIOCOUTQNSD = 0x894B  # linux/sockios.h: unsent bytes of the send queue
+INPUT_ENDED = getattr(select, "POLLRDHUP", 0)  # Linux only; elsewhere only a read shows an end of input
 
 
 def ending_of(sock: socket.socket) -> Ending | None:
-    """How the client has ended the connection, as far as its system has told ours; None while it is there."""
+    """How the client has ended the connection, as far as the kernel knows; None while it is connected."""
     poll = select.poll()
     try:
-        poll.register(sock.fileno(), INPUT_ENDED)  # errors and hang-ups are always told
+        poll.register(sock.fileno(), INPUT_ENDED)  # errors and hang-ups are always reported
         events = poll.poll(0)
-    except (OSError, ValueError):  # it is closed here
+    except (OSError, ValueError):  # closed on this side
         return None
     if not events:
         return None
@@ -30,10 +30,10 @@
 
 
 def unacknowledged(sock: socket.socket) -> int | None:
-    """Bytes written that the client's system has not confirmed; None where this system cannot tell."""
+    """Bytes written that the client's TCP stack has not acknowledged; None if the platform cannot tell."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
-        if len(info) < TCP_INFO_SIZE or not any(info[RETRANSMISSION_TIMEOUT]):  # no connection has none
+        if len(info) < TCP_INFO_SIZE or not any(info[RETRANSMISSION_TIMEOUT]):  # zero: not a TCP connection
             return None
     except (OSError, ValueError, AttributeError):
         return None
@@ -41,7 +41,7 @@
 
 
 def unsent(sock: socket.socket) -> int:
-    """Bytes written that the client has no room for so far; 0 where this system cannot tell."""
+    """Bytes written but not sent, for lack of room at the client; 0 if the platform cannot tell."""
     return queue_size(sock, SIOCOUTQNSD) or 0
 
 
