--- a/rushhitch/discovery.py
+++ b/rushhitch/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the watch on the list, its reconnects, and the notices to the platform."""
+"""Discovery: watching the endpoint list, reconnecting, and sending notices of ends to the platform."""
 
 from __future__ import annotations
 
@@ -17,147 +17,161 @@
 
 log = logging.getLogger(__name__)
 
-# What discovery has to tell counts as told 6 s after it could be reached, whatever failed before. The most
-# that a dispatcher waits, with one refusal and 1 s for the answer: 2 * PERIOD_S + 1 after any call in vain,
-# CROWDED_S + AGAIN_S + 1 after one that was refused late, SILENCE_S + SOON_S + AGAIN_S + 1 after a watch fell
-# silent. `docs/design/discovery.md` has what it takes.
-PERIOD_S = 2.4  # from a call's beginning to the next one's, and the spread of those who ask together
-CROWDED_S = 4.5  # the same where many ask and one was let wait and refused: it may tell of too many
-CROWDED_CALLS = 12  # so many on end may as well be a discovery that is down and says so late
-RARE_S, RARER_S, RAREST_S = 6.0, 3.0, 18.0  # then by chance: from the first on, the second more each time
-DOWN_CALLS = 2  # so many that fail at once, on end: it is down and says so; one refused late stood in a queue
-WAITED_S = 1.0  # from a request to its refusal: it stood in a queue
-ANSWER_S = 6.0  # a call is waited for so long, beside later ones: a late answer is as good
-BACKOFF_S = 0.2  # from a call's beginning to the next one's: doubled each time, up to the period
-SHARE_S = 0.1  # for each other dispatcher: the least of it, and the spread of the first calls
-SILENCE_S = 3.5  # a watch says something every 2 s: after so long without a whole word of it, it is dead
-SOON_S, AGAIN_S = 1.05, 0.3  # the next is asked for within so long, and once more after a refusal
-NOTICE_S, NOTICE_TOP_S = 0.15, 2.0  # notices are answered at once: after so long they are sent again on
-NOTICE_ANSWER_TOP_S = 10.0  # the same where the request was written: who is slow to answer is heard, too
-NOTICE_IDLE_S = 1.0  # a connection that idled longer may have been dropped unseen: an end would come late
-NOTICE_ASIDE_S = 10.0  # one that could not be read is told again on its own: its end is owed still
-NOTICE_REST_S = 0.05  # another connection, with more patience each time
-MOST_LINE = 4_000_000
-MOST_NOTICES = 100  # in one request
-BROKEN = (OSError, TimeoutError, h11.ProtocolError, ValueError)
+# What discovery has must be received within 6 s after discovery becomes reachable, whatever failed before.
+# The longest waits, with one refusal and 1 s for the answer, are: 2 * PERIOD_S + 1 after any failed call,
+# CROWDED_PERIOD_S + QUICK_RETRY_S + 1 after one that was refused late, and
+# SILENCE_S + SILENCE_RECONNECT_S + QUICK_RETRY_S + 1 after a watch fell silent. `docs/design/discovery.md`
+# has what discovery must serve for that.
+PERIOD_S = 2.4  # between the starts of calls, and the spread of dispatchers that call at the same time
+CROWDED_PERIOD_S = 4.5  # the same in a large fleet after a late refusal, which may mean too many callers
+MAX_CROWDED_CALLS = 12  # late refusals in a row before backing off: discovery may be down and refuse late
+# Back-off after that: drawn between the first and a bound that grows by the second per call, up to the third.
+OVERLOAD_BACKOFF_S, OVERLOAD_BACKOFF_STEP_S, MAX_OVERLOAD_BACKOFF_S = 6.0, 3.0, 18.0
+MIN_FAST_FAILURES = 2  # in a row: discovery is down and refuses at once, so a late refusal means a queue
+QUEUED_S = 1.0  # a refusal this long after its request had waited in a queue
+ANSWER_S = 6.0  # time-out of a call; it stays open beside later calls, since a late answer is as good
+MIN_PERIOD_S = 0.2  # after the first failure; doubled with each, up to PERIOD_S
+SPREAD_PER_DISPATCHER_S = 0.1  # for each other one: spread of the first calls, and least period of later ones
+SILENCE_S = 3.5  # a watch sends something every 2 s: after this long without a complete item it is dead
+SILENCE_RECONNECT_S, QUICK_RETRY_S = 1.05, 0.3  # limit of the delay after a silence; then after one refusal
+NOTICE_S, NOTICE_TOP_S = 0.15, 2.0  # first and longest time-out for sending: the platform answers at once
+MAX_NOTICE_ANSWER_S = 10.0  # longest time-out for the answer: a slow platform must still be able to answer
+NOTICE_IDLE_S = 1.0  # after it a connection may have been dropped unnoticed, which would delay the notice
+NOTICE_ASIDE_S = 10.0  # before a notice that the platform could not read is sent again: its end is still due
+NOTICE_RETRY_S = 0.05  # before the next connection; time-outs double with each
+MAX_LINE_BYTES = 4_000_000
+MAX_NOTICES_PER_REQUEST = 100
+EXPECTED_ERRORS = (OSError, TimeoutError, h11.ProtocolError, ValueError)
 
 
 class ReconnectSchedule:
-    """When to ask for a watch. Discovery is one service for all dispatchers and works through their calls in
-    turn: where all ask at once, as after an outage of its own or a release, each call waits too long and all
-    fail again. So those who lose their watch together are spread by chance over a period, and each keeps the
-    place that it drew: from a call's beginning to the next it is a period, however the call failed."""
+    """When to call discovery for a watch. Discovery is one service for all dispatchers and serves their calls
+    one after another: if all call at once, as after an outage or a release, each call waits too long and all
+    fail again. Dispatchers that lose their watch together are therefore spread at random over a period, and
+    each keeps its offset, since calls start one period apart however they fail. Delays are in seconds."""
 
     def __init__(self, chance: random.Random, dispatchers: int = 1) -> None:
-        self.chance, self.failures, self.late, self.at_once = chance, 0, 0, 0
-        self.hurried, self.rested, self.placed = False, False, True
+        self.chance, self.failures, self.queued_refusals, self.fast_failures = chance, 0, 0, 0
+        self.after_silence, self.after_long_rest, self.spread_out = False, False, True
         self.resize(dispatchers)
-        self.initial_spread_s = min(self.share_s, PERIOD_S)
+        self.initial_spread_s = min(self.fleet_spread_s, PERIOD_S)
 
     def resize(self, dispatchers: int) -> None:
-        """So many ask from now on, this one among them."""
-        self.share_s = SHARE_S * (dispatchers - 1)
+        """Set the size of the fleet, this dispatcher included."""
+        self.fleet_spread_s = SPREAD_PER_DISPATCHER_S * (dispatchers - 1)
 
     @property
-    def many(self) -> bool:
-        """Whether they may crowd discovery."""
-        return self.share_s > PERIOD_S
+    def may_crowd(self) -> bool:
+        """Whether the fleet is large enough to overload discovery."""
+        return self.fleet_spread_s > PERIOD_S
 
     def initial_delay(self) -> float:
-        """Seconds until the first of the process; one at a new address comes at once, the list may be old."""
+        """Before the first call. After a change of address it is 0, since the list may be outdated."""
         initial_spread_s, self.initial_spread_s = self.initial_spread_s, 0.0
-        self.placed = initial_spread_s > 0.0 or self.share_s == 0.0
+        self.spread_out = initial_spread_s > 0.0 or self.fleet_spread_s == 0.0
         return self.chance.random() * initial_spread_s
 
     def reset(self) -> None:
-        """A watch told something: what failed before is over."""
-        self.failures, self.late, self.at_once = 0, 0, 0
-        self.hurried = self.rested = False
+        """Forget earlier failures: a watch has delivered something."""
+        self.failures, self.queued_refusals, self.fast_failures = 0, 0, 0
+        self.after_silence = self.after_long_rest = False
 
     def delay_after_silence(self) -> float:
-        """Seconds until the one in place of a watch that fell silent: what it misses may count as told soon.
-        Watches fall silent at moments of their own, so those who ask are spread by more than this."""
-        self.hurried, self.placed = True, True
-        return self.chance.random() * min(self.share_s, SOON_S)
+        """Before the call that replaces a silent watch. It is short, since part of the 6 s is already spent;
+        watches fall silent at different times, which spreads the calls further."""
+        self.after_silence, self.spread_out = True, True
+        return self.chance.random() * min(self.fleet_spread_s, SILENCE_RECONNECT_S)
 
     def delay_after_end(self, lasted_s: float) -> float:
-        """Seconds until the one in place of a watch that ended `lasted_s` after it was asked for."""
-        placed, self.placed = self.placed, True
-        period_s = self.period()
-        if placed and lasted_s < period_s:
+        """Before the call that replaces a watch that ended `lasted_s` after its call began."""
+        spread_out, self.spread_out = self.spread_out, True
+        period_s = self.next_period()
+        if spread_out and lasted_s < period_s:
             return period_s - lasted_s
         return self.chance.random() * period_s
 
     def delay_after_failure(self, waited_s: float = -math.inf) -> float:
-        """Seconds from the beginning of one that failed to the next. Where discovery refused it, `waited_s`
-        tells how long after the request. After a silence or a long rest, one that is refused comes again at
-        once: discovery may be back, and have refused this one call."""
-        hurried, self.hurried = self.hurried, False
-        rested, self.rested = self.rested, False
-        if hurried and waited_s >= 0.0:
-            return AGAIN_S
-        # Where many have come at once, a queue is told by less.
-        if waited_s >= (WAITED_S if self.placed or not self.many else AGAIN_S):
-            return self.crowded(waited_s)
-        if rested and waited_s >= 0.0:
-            return AGAIN_S
-        self.at_once = 1 if self.late else self.at_once + 1
-        self.late = 0
-        return self.place(waited_s, self.period())
+        """From the start of a failed call to the next. If discovery refused it, `waited_s` is the time from
+        request to refusal. The first refusal after a silence or a long delay is retried quickly: discovery
+        may be back and have refused only this call."""
+        after_silence, self.after_silence = self.after_silence, False
+        after_long_rest, self.after_long_rest = self.after_long_rest, False
+        if after_silence and waited_s >= 0.0:
+            return QUICK_RETRY_S
+        # If all have called at once, a shorter wait already means a queue.
+        if waited_s >= (QUEUED_S if self.spread_out or not self.may_crowd else QUICK_RETRY_S):
+            return self.delay_when_crowded(waited_s)
+        if after_long_rest and waited_s >= 0.0:
+            return QUICK_RETRY_S
+        self.fast_failures = 1 if self.queued_refusals else self.fast_failures + 1
+        self.queued_refusals = 0
+        return self.spread_delay(waited_s, self.next_period())
 
     def delay_to_parallel_call(self, waited_s: float = -math.inf) -> float:
-        """Seconds from the beginning of one with no answer to one beside it; an older one was refused after
-        `waited_s`."""
-        if self.late:
-            return CROWDED_S
-        if waited_s >= WAITED_S and self.many:
-            return self.chance.uniform(PERIOD_S, CROWDED_S)
-        return PERIOD_S if self.placed else self.place(PERIOD_S, CROWDED_S)
-
-    def period(self) -> float:
-        """How far calls that fail are apart."""
+        """From the start of a call without an answer to the next, parallel one. `waited_s` is given if an
+        older call was refused after that time."""
+        if self.queued_refusals:
+            return CROWDED_PERIOD_S
+        if waited_s >= QUEUED_S and self.may_crowd:
+            return self.chance.uniform(PERIOD_S, CROWDED_PERIOD_S)
+        return PERIOD_S if self.spread_out else self.spread_delay(PERIOD_S, CROWDED_PERIOD_S)
+
+    def next_period(self) -> float:
+        """Count a failure and return the time between starts of calls."""
         self.failures += 1
-        return min(max(BACKOFF_S, self.share_s) * 2.0 ** min(self.failures - 1, 16), PERIOD_S)
-
-    def place(self, from_s: float, to_s: float) -> float:
-        """The end of that time; one that has come with all others, at once, draws its place in it first."""
-        placed, self.placed = self.placed, True
-        return to_s if placed else self.chance.uniform(min(max(from_s, 0.0), to_s), to_s)
-
-    def crowded(self, waited_s: float) -> float:
-        """The period after a call that was let wait: more may ask than discovery serves, and a call that it
-        refuses late costs it as much as an answer. A discovery that is down may do so too, and is asked in
-        time for its return; one that said at once that it was down is back, and asked the more rarely."""
-        if not self.many:
-            return self.place(waited_s, PERIOD_S)
-        self.late += 1
-        self.rested = True
-        rarer = self.late if self.at_once >= DOWN_CALLS else self.late - CROWDED_CALLS
-        if rarer > 0:
-            self.placed = True
-            return self.chance.uniform(RARE_S, min(RARE_S + RARER_S * rarer, RAREST_S))
-        self.placed = self.placed and self.late > 1  # the first draws: they came in half of this time
-        return self.place(waited_s, CROWDED_S)
-
-
-class Silent(Exception):
-    """The watch says nothing whole any more, and its connection stays open."""
-
-
-class Words:
-    """Takes a watch's bytes apart: an object each, over one line or several, and empty lines between them."""
-
-    MARKS = re.compile(rb'[{}\n]|"(?:[^"\\]|\\.)*"|"', re.DOTALL)  # a text as a whole: it may hold braces
+        return min(max(MIN_PERIOD_S, self.fleet_spread_s) * 2.0 ** min(self.failures - 1, 16), PERIOD_S)
+
+    def spread_delay(self, from_s: float, to_s: float) -> float:
+        """Return `to_s`, or a random delay up to it if this dispatcher has not been spread out yet."""
+        spread_out, self.spread_out = self.spread_out, True
+        return to_s if spread_out else self.chance.uniform(min(max(from_s, 0.0), to_s), to_s)
+
+    def delay_when_crowded(self, waited_s: float) -> float:
+        """After a late refusal: there may be more callers than discovery serves, and a late refusal costs it
+        as much as an answer. A discovery that is down may also refuse late, so back-off begins only after
+        `MAX_CROWDED_CALLS`; one that refused at once while it was down is back, and back-off begins now."""
+        if not self.may_crowd:
+            return self.spread_delay(waited_s, PERIOD_S)
+        self.queued_refusals += 1
+        self.after_long_rest = True
+        backoff_steps = (
+            self.queued_refusals
+            if self.fast_failures >= MIN_FAST_FAILURES
+            else self.queued_refusals - MAX_CROWDED_CALLS
+        )
+        if backoff_steps > 0:
+            self.spread_out = True
+            return self.chance.uniform(
+                OVERLOAD_BACKOFF_S,
+                min(OVERLOAD_BACKOFF_S + OVERLOAD_BACKOFF_STEP_S * backoff_steps, MAX_OVERLOAD_BACKOFF_S),
+            )
+        self.spread_out = (
+            self.spread_out and self.queued_refusals > 1
+        )  # the first one draws: calls were spread over half of this time
+        return self.spread_delay(waited_s, CROWDED_PERIOD_S)
+
+
+class WatchSilent(Exception):
+    """The watch delivers no complete item any more although its connection stays open."""
+
+
+class JsonFramer:
+    """Splits a watch's bytes into JSON objects, each on one line or several, and empty lines between them."""
+
+    MARKS = re.compile(
+        rb'[{}\n]|"(?:[^"\\]|\\.)*"|"', re.DOTALL
+    )  # strings as a whole, since they may contain braces
 
     def __init__(self) -> None:
-        self.held = b""  # of an object that has not come whole
-        self.depth = self.at = 0  # braces open in it, and how far it was gone over
+        self.buffer = b""  # an incomplete object
+        self.depth = self.at = 0  # open braces in it, and how far it was scanned
 
     def feed(self, data: bytes) -> list[bytes]:
-        """What is whole now: objects, and an empty one for an empty line. A `ValueError` for any other."""
-        held, start, words = self.held + data, 0, []
-        while mark := self.MARKS.search(held, self.at):
-            if mark[0] == b'"':  # a text whose end has not come
+        """The items complete by now: objects, and b"" for an empty line. Raises `ValueError` for other input,
+        or an object of more than `MAX_LINE_BYTES`."""
+        buffer, start, objects = self.buffer + data, 0, []
+        while mark := self.MARKS.search(buffer, self.at):
+            if mark[0] == b'"':  # an unterminated string
                 self.at = mark.start()
                 break
             self.at = mark.end()
@@ -167,37 +181,37 @@
                 self.depth -= 1
             if self.depth > 0 or mark[0] not in b"}\n":
                 continue
-            word, start = held[start : self.at].strip(), self.at
-            if word and not word.startswith(b"{"):
-                raise ValueError(f"no object: {word[:80]!r}")
-            words.append(word)
+            text, start = buffer[start : self.at].strip(), self.at
+            if text and not text.startswith(b"{"):
+                raise ValueError(f"no object: {text[:80]!r}")
+            objects.append(text)
         else:
-            self.at = len(held)
-        self.held, self.at = held[start:], self.at - start
-        if len(self.held) > MOST_LINE:
-            raise ValueError(f"an object of more than {MOST_LINE} bytes")
-        if not self.depth and not b"{".startswith(self.held.lstrip()[:1]):
-            raise ValueError(f"no object: {self.held[:80]!r}")
-        return words
+            self.at = len(buffer)
+        self.buffer, self.at = buffer[start:], self.at - start
+        if len(self.buffer) > MAX_LINE_BYTES:
+            raise ValueError(f"discovery update exceeds {MAX_LINE_BYTES} bytes")
+        if not self.depth and not b"{".startswith(self.buffer.lstrip()[:1]):
+            raise ValueError(f"no object: {self.buffer[:80]!r}")
+        return objects
 
 
 class Watch:
-    """Keeps a watch open from the version known; hands each line of it to `told`."""
+    """Keeps a watch open from the last known version and passes each update to `on_update`."""
 
     def __init__(
         self,
         address: tuple[str, int],
         version: int,
-        told: Callable[[dict[str, Any]], None],
+        on_update: Callable[[dict[str, Any]], None],
         chance: random.Random,
         silence_s: float = SILENCE_S,
         dispatchers: int = 1,
     ) -> None:
-        self.address, self.version, self.told = address, version, told
+        self.address, self.version, self.on_update = address, version, on_update
         self.silence_s, self.schedule = silence_s, ReconnectSchedule(chance, dispatchers)
 
     def move(self, address: tuple[str, int]) -> None:
-        """The next `run` opens its watch there at once, from the version known."""
+        """Use this address from the next `run` on, which connects at once from the last known version."""
         self.address = address
         self.schedule.reset()
 
@@ -205,28 +219,28 @@
         loop = asyncio.get_running_loop()
         await asyncio.sleep(self.schedule.initial_delay())
         while True:
-            connection, asked_at = await self.opened()
+            connection, asked_at = await self.open_stream()
             try:
-                await self.listen(connection)
-            except Silent:
+                await self.read_updates(connection)
+            except WatchSilent:
                 log.info("watch ended: it fell silent")
                 rest_s = self.schedule.delay_after_silence()
             except Exception as error:
-                self.note(error)
+                self.log_failure(error)
                 rest_s = self.schedule.delay_after_end(loop.time() - asked_at)
             finally:
                 connection.close()
             await asyncio.sleep(rest_s)
 
-    async def opened(self) -> tuple[Connection, float]:
-        """Ask until a call is answered; gives its connection, and when the newest call began. One that has
-        no answer when the next is due goes on beside it: given up, its answer would be told and not heard."""
+    async def open_stream(self) -> tuple[Connection, float]:
+        """Call until one is answered. Returns its connection and the start of the newest call. A call without
+        an answer stays open beside the next: if it were cancelled, an answer in transit would be lost."""
         loop = asyncio.get_running_loop()
         calls: set[asyncio.Task[Connection | float]] = set()
         try:
             while True:
                 began = loop.time()
-                newest = loop.create_task(self.ask())
+                newest = loop.create_task(self.request_stream())
                 calls.add(newest)
                 due = began + PERIOD_S
                 while calls and (left_s := due - loop.time()) > 0.0:
@@ -237,7 +251,7 @@
                             return answer, began
                         if call is newest:
                             due = began + self.schedule.delay_after_failure(answer)
-                        elif newest in calls:  # with no word yet: what an older one heard counts
+                        elif newest in calls:  # still open: the refusal of an older one counts
                             due = began + self.schedule.delay_to_parallel_call(answer)
                     if not done:
                         due = began + self.schedule.delay_to_parallel_call()
@@ -247,8 +261,9 @@
                 if not (call.cancel() or call.cancelled() or isinstance(late := call.result(), float)):
                     late.close()
 
-    async def ask(self) -> Connection | float:
-        """One call for a watch: its connection once it is answered, or how long it waited to be refused."""
+    async def request_stream(self) -> Connection | float:
+        """One call for a watch. Returns its connection once it is answered, or how many seconds it waited for
+        its refusal (-inf if there was none)."""
         loop = asyncio.get_running_loop()
         connection, written_at = None, math.inf
         try:
@@ -262,148 +277,150 @@
             answered, connection = connection, None
             return answered
         except Exception as error:
-            self.note(error)
+            self.log_failure(error)
             return -math.inf if isinstance(error, TimeoutError) else loop.time() - written_at
         finally:
             if connection is not None:
                 connection.close()
 
     @staticmethod
-    def note(error: Exception) -> None:
-        if isinstance(error, BROKEN):
+    def log_failure(error: Exception) -> None:
+        if isinstance(error, EXPECTED_ERRORS):
             log.info("watch ended: %r", error)
         else:
             log.error("watch failed", exc_info=error)
 
-    async def listen(self, connection: Connection) -> None:
-        """Hear the watch, until it breaks or falls silent."""
-        words = Words()
+    async def read_updates(self, connection: Connection) -> None:
+        """Read the watch until it breaks (raises the error) or falls silent (raises `WatchSilent`)."""
+        framer = JsonFramer()
         while True:
-            # From whole word to whole word: part of one, however it trickles, is no sign of life.
+            # Only complete items count as a sign of life, not the bytes of one that trickles in.
             try:
                 async with asyncio.timeout(self.silence_s):
-                    while not (lines := await self.more(connection, words)):
+                    while not (lines := await self.read_objects(connection, framer)):
                         pass
             except TimeoutError:
-                raise Silent from None
+                raise WatchSilent from None
             self.schedule.reset()
             for line in lines:
                 if line:
-                    self.read(line)
+                    self.handle_update(line)
 
     @staticmethod
-    async def more(connection: Connection, words: Words) -> list[bytes]:
+    async def read_objects(connection: Connection, framer: JsonFramer) -> list[bytes]:
         event = await connection.event()
         if not isinstance(event, h11.Data):
-            raise ConnectionError("discovery ended the watch")
-        return words.feed(bytes(event.data))
+            raise ConnectionError("discovery closed the watch")
+        return framer.feed(bytes(event.data))
 
-    def read(self, line: bytes) -> None:
-        news = json.loads(line)
-        if not isinstance(news.get("version"), int) or not isinstance(news.get("servers"), list):
-            raise ValueError(f"a word of the watch has no version or no servers: {line[:80]!r}")
-        self.told(news)
-        self.version = news["version"]
+    def handle_update(self, line: bytes) -> None:
+        update = json.loads(line)
+        if not isinstance(update.get("version"), int) or not isinstance(update.get("servers"), list):
+            raise ValueError(f"discovery update lacks version or servers: {line[:80]!r}")
+        self.on_update(update)
+        self.version = update["version"]
 
 
-class Unreadable(Exception):
-    """The platform cannot read what it was sent."""
+class NoticeRejected(Exception):
+    """The platform answered 400: it cannot read the notices."""
 
 
 class NoticeSender:
-    """Tells the platform of each end until it has heard: 204 is its word for that."""
+    """Sends the end of each message to the platform until the platform acknowledges it with 204, and then
+    calls `on_heard` with the message's number."""
 
-    def __init__(self, address: tuple[str, int], heard: Callable[[int], None]) -> None:
-        self.address, self.heard = address, heard
-        self.due: dict[int, dict[str, Any]] = {}  # by the message's number: its id may have come again
+    def __init__(self, address: tuple[str, int], on_heard: Callable[[int], None]) -> None:
+        self.address, self.on_heard = address, on_heard
+        self.pending: dict[int, dict[str, Any]] = {}  # by message number, since an id may be reused
         self.wake, self.empty = asyncio.Event(), asyncio.Event()
         self.empty.set()
         self.connection: Connection | None = None
-        self.used_at = 0.0
-        self.be_quick()
+        self.last_used_at = 0.0
+        self.reset_timeouts()
 
-    def be_quick(self) -> None:
-        """Another connection is tried soon, whatever was waited for before."""
-        self.write_s = self.answer_s = NOTICE_S
+    def reset_timeouts(self) -> None:
+        """Return to the shortest time-outs."""
+        self.send_timeout_s = self.response_timeout_s = NOTICE_S
 
     def add(self, number: int, message: bytes, result: str, wait_ms: float) -> None:
         notice: dict[str, Any] = {"ref": message.decode("latin-1"), "result": result}
         if wait_ms > 0:
             notice["wait_ms"] = int(wait_ms)
-        self.due[number] = notice
+        self.pending[number] = notice
         self.empty.clear()
         self.wake.set()
 
     def move(self, address: tuple[str, int]) -> None:
-        """The next `run` sends there all that is due, also what the old address may have heard."""
+        """Use this address from the next `run` on, which sends all pending notices, also those that the old
+        address may have received."""
         self.address = address
 
     async def run(self) -> None:
         try:
-            await self.tell()
+            await self.send_pending()
         finally:
             self.drop_connection()
 
-    async def tell(self) -> None:
-        most = MOST_NOTICES
-        self.be_quick()
-        self.wake.set()  # an earlier `run` may have been stopped with some under way
+    async def send_pending(self) -> None:
+        batch_size = MAX_NOTICES_PER_REQUEST
+        self.reset_timeouts()
+        self.wake.set()  # an earlier `run` may have been stopped with some in flight
         while True:
             await self.wake.wait()
             self.wake.clear()
-            while self.due:
+            while self.pending:
                 try:
-                    await self.post(list(self.due)[:most])
-                    self.be_quick()
+                    await self.post(list(self.pending)[:batch_size])
+                    self.reset_timeouts()
                     continue
-                except Unreadable as error:
-                    # Guards against one bad notice that keeps all others from being told: one by one, until
-                    # it is found.
-                    if most == 1:
-                        self.set_aside(next(iter(self.due)), error)
-                    most = 1 if most > 1 else MOST_NOTICES
-                except BROKEN as error:
-                    log.info("notices are sent again: %r", error)
+                except NoticeRejected as error:
+                    # Send one by one until the bad notice is found, since it must not block the others.
+                    if batch_size == 1:
+                        self.set_aside(next(iter(self.pending)), error)
+                    batch_size = 1 if batch_size > 1 else MAX_NOTICES_PER_REQUEST
+                except EXPECTED_ERRORS as error:
+                    log.info("sending notices failed, retrying: %r", error)
                 except Exception:
-                    log.exception("notices failed")
+                    log.exception("sending notices failed, retrying")
                 self.drop_connection()
-                await asyncio.sleep(NOTICE_REST_S)
-            most = MOST_NOTICES
+                await asyncio.sleep(NOTICE_RETRY_S)
+            batch_size = MAX_NOTICES_PER_REQUEST
             self.empty.set()
 
-    def set_aside(self, number: int, error: Unreadable) -> None:
-        """The journal keeps it; until it is told again it holds up no other, nor the end of the process."""
-        notice = self.due.pop(number)
+    def set_aside(self, number: int, error: NoticeRejected) -> None:
+        """Retry an unreadable notice later; meanwhile it delays neither others nor shutdown. The journal
+        keeps it."""
+        notice = self.pending.pop(number)
         log.error("a notice is told again in %g s: %s: %r", NOTICE_ASIDE_S, error, notice)
-        asyncio.get_running_loop().call_later(NOTICE_ASIDE_S, self.tell_again, number, notice)
+        asyncio.get_running_loop().call_later(NOTICE_ASIDE_S, self.requeue, number, notice)
 
-    def tell_again(self, number: int, notice: dict[str, Any]) -> None:
-        self.due.setdefault(number, notice)
+    def requeue(self, number: int, notice: dict[str, Any]) -> None:
+        self.pending.setdefault(number, notice)
         self.empty.clear()
         self.wake.set()
 
     async def post(self, numbers: list[int]) -> None:
-        told = {number: self.due[number] for number in numbers}
-        body = b"".join(json.dumps(notice).encode() + b"\n" for notice in told.values())
-        connection = await self.write(body)
-        response = await self.answer(connection)
+        batch = {number: self.pending[number] for number in numbers}
+        body = b"".join(json.dumps(notice).encode() + b"\n" for notice in batch.values())
+        connection = await self.send_request(body)
+        response = await self.read_response(connection)
         if response.status_code == 400:
-            raise Unreadable("the platform answered 400")
+            raise NoticeRejected("the platform answered 400")
         if response.status_code != 204:
-            raise ConnectionError(f"a notice was answered {response.status_code}")
-        self.used_at = asyncio.get_running_loop().time()
-        for number, notice in told.items():
-            if self.due[number] is notice:  # another that came meanwhile is not heard yet
-                del self.due[number]
-                self.heard(number)
+            raise ConnectionError(f"the platform answered notices with {response.status_code}")
+        self.last_used_at = asyncio.get_running_loop().time()
+        for number, notice in batch.items():
+            if self.pending[number] is notice:  # else replaced meanwhile, and still to be sent
+                del self.pending[number]
+                self.on_heard(number)
         if not connection.prepare_next_request():
             self.drop_connection()
 
-    async def write(self, body: bytes) -> Connection:
-        """Send the request; gives its connection."""
+    async def send_request(self, body: bytes) -> Connection:
+        """Send a request on the open connection, or on a new one if that idled too long; returns it."""
         try:
-            async with asyncio.timeout(self.write_s):
-                idled = asyncio.get_running_loop().time() - self.used_at
+            async with asyncio.timeout(self.send_timeout_s):
+                idled = asyncio.get_running_loop().time() - self.last_used_at
                 if self.connection is not None and (
                     idled > NOTICE_IDLE_S or not self.connection.has_no_input()
                 ):
@@ -413,19 +430,19 @@
                 await self.connection.send("POST", "/status", [], body)
                 return self.connection
         except TimeoutError:
-            self.write_s = min(2.0 * self.write_s, NOTICE_TOP_S)
+            self.send_timeout_s = min(2.0 * self.send_timeout_s, NOTICE_TOP_S)
             raise
 
-    async def answer(self, connection: Connection) -> h11.Response:
-        """The head of its answer. Guards against a platform that hears and never is heard: it is waited for
-        longer each time, as long as the connection comes up."""
+    async def read_response(self, connection: Connection) -> h11.Response:
+        """The head of the response. The time-out grows with each failure: a platform that takes requests but
+        answers slowly must still be able to acknowledge them."""
         try:
-            async with asyncio.timeout(self.answer_s):
+            async with asyncio.timeout(self.response_timeout_s):
                 response = await connection.response()
-                await connection.body(MOST_LINE)
+                await connection.body(MAX_LINE_BYTES)
                 return response
         except TimeoutError:
-            self.answer_s = min(2.0 * self.answer_s, NOTICE_ANSWER_TOP_S)
+            self.response_timeout_s = min(2.0 * self.response_timeout_s, MAX_NOTICE_ANSWER_S)
             raise
 
     def drop_connection(self) -> None:
@@ -435,7 +452,7 @@
 
 
 class PlatformClient:
-    """The watch and the notices at work, at one address at a time."""
+    """Runs the watch and the notice sender, both at one address at a time."""
 
     def __init__(self, watch: Watch, notices: NoticeSender) -> None:
         self.watch, self.notices = watch, notices
@@ -450,7 +467,7 @@
             task.cancel()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Go on at the new address at once; the connections to the old one are closed."""
+        """Continue at the new address at once and close the connections to the old one."""
         self.stop()
         self.watch.move(address)
         self.notices.move(address)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -60,17 +60,17 @@
     row = {"id": 's-"}{\\', "addr": "[1]\n", "more": [{"a": {}}, "\\"]}
     told = [{"version": version, "full": False, "servers": [row] * version} for version in range(3)]
     data = b"\n" + b"\n".join(json.dumps(one, indent=indent).encode() + b"\n" for one in told)
-    words, found = discovery.Words(), []
+    words, found = discovery.JsonFramer(), []
     for at in range(0, len(data), step):
         found += words.feed(data[at : at + step])
     assert [json.loads(word) for word in found if word] == told and b"" in found
-    assert not words.held
+    assert not words.buffer
 
 
 @pytest.mark.parametrize("data", [b"x", b"}\n", b"[1]\n", b'"a"\n', b'{"a":1}}\n', b"7\n"])
 def test_what_is_no_object_is_refused(data):
     with pytest.raises(ValueError, match="no object"):
-        discovery.Words().feed(data)
+        discovery.JsonFramer().feed(data)
 
 
 def test_an_indented_list_is_told_from_a_watch():
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -9,16 +9,16 @@
 
 from rushhitch import discovery
 from rushhitch.discovery import (
-    AGAIN_S,
-    CROWDED_CALLS,
-    CROWDED_S,
+    CROWDED_PERIOD_S,
+    MAX_CROWDED_CALLS,
+    MAX_OVERLOAD_BACKOFF_S,
+    OVERLOAD_BACKOFF_S,
+    OVERLOAD_BACKOFF_STEP_S,
     PERIOD_S,
-    RARE_S,
-    RARER_S,
-    RAREST_S,
+    QUEUED_S,
+    QUICK_RETRY_S,
+    SILENCE_RECONNECT_S,
     SILENCE_S,
-    SOON_S,
-    WAITED_S,
     ReconnectSchedule,
 )
 
@@ -36,15 +36,19 @@
 def never_in_step(directory, dispatchers, spread_s=PERIOD_S, end=END):
     """All ask once in `spread_s` at most, or ten in a second; and five deviations for chance."""
     for window_s in (0.1, 1.0):
-        mean = window_s * max(1.0 / discovery.SHARE_S, dispatchers / spread_s)
+        mean = window_s * max(1.0 / discovery.SPREAD_PER_DISPATCHER_S, dispatchers / spread_s)
         busiest = directory.busiest(0.0, end, window_s)
         assert busiest <= mean + 5.0 * math.sqrt(mean), f"{busiest} calls in {window_s} s"
 
 
 def test_the_worst_cases_are_sums_of_constants_that_leave_a_second_for_the_answer():
     assert PERIOD_S + PERIOD_S + UP_S <= TOLD_S, "a period to the first call, which is refused, another one"
-    assert CROWDED_S + AGAIN_S + UP_S <= TOLD_S, "a call that was let wait, the next one, which is refused"
-    assert SILENCE_S + SOON_S + AGAIN_S + UP_S <= TOLD_S, "a watch that fell silent, a refusal"
+    assert CROWDED_PERIOD_S + QUICK_RETRY_S + UP_S <= TOLD_S, (
+        "a call that was let wait, the next one, which is refused"
+    )
+    assert SILENCE_S + SILENCE_RECONNECT_S + QUICK_RETRY_S + UP_S <= TOLD_S, (
+        "a watch that fell silent, a refusal"
+    )
     assert discovery.ANSWER_S >= TOLD_S - PERIOD_S, "no answer is given up that would come in time"
 
 
@@ -58,7 +62,7 @@
     directory = Directory(1, down_at=DOWN_AT, back_at=BACK_AT, way=way, **serves)
     watches = Watches(directory, dispatchers, 1).run(monkeypatch, END)
     assert watches.latest(BACK_AT) <= TOLD_S
-    never_in_step(directory, dispatchers, SOON_S if way == "cut" else PERIOD_S)
+    never_in_step(directory, dispatchers, SILENCE_RECONNECT_S if way == "cut" else PERIOD_S)
 
 
 @pytest.mark.parametrize("dispatchers", FLEETS)
@@ -78,7 +82,7 @@
     directory = Directory(3, late_s=0.8, silent_at=DOWN_AT, refuse_from=DOWN_AT)
     watches = Watches(directory, dispatchers, 3).run(monkeypatch, DOWN_AT + 7.0)
     assert watches.latest(DOWN_AT) <= TOLD_S
-    never_in_step(directory, dispatchers, SOON_S / 2.0)  # two calls of each
+    never_in_step(directory, dispatchers, SILENCE_RECONNECT_S / 2.0)  # two calls of each
 
 
 @pytest.mark.parametrize("dispatchers", FLEETS[:3])
@@ -189,12 +193,18 @@
 def test_calls_that_are_refused_late_become_rarer_only_after_many_where_discovery_may_be_down():
     asks = ReconnectSchedule(random.Random(1), 200)
     rests = [asks.delay_after_failure(2.0) for _ in range(60)]
-    assert max(rests[:CROWDED_CALLS]) == CROWDED_S and rests[1:CROWDED_CALLS] == [CROWDED_S] * (
-        CROWDED_CALLS - 1
+    assert max(rests[:MAX_CROWDED_CALLS]) == CROWDED_PERIOD_S and rests[1:MAX_CROWDED_CALLS] == [
+        CROWDED_PERIOD_S
+    ] * (MAX_CROWDED_CALLS - 1)
+    assert (
+        OVERLOAD_BACKOFF_S
+        <= rests[MAX_CROWDED_CALLS]
+        <= OVERLOAD_BACKOFF_S + OVERLOAD_BACKOFF_STEP_S
+        < max(rests)
+        <= MAX_OVERLOAD_BACKOFF_S
     )
-    assert RARE_S <= rests[CROWDED_CALLS] <= RARE_S + RARER_S < max(rests) <= RAREST_S
-    assert asks.delay_after_failure(0.1) == AGAIN_S, "it may be back, and have refused this one"
-    assert asks.delay_after_failure(0.1) == PERIOD_S and asks.delay_after_failure(2.0) <= CROWDED_S, (
+    assert asks.delay_after_failure(0.1) == QUICK_RETRY_S, "it may be back, and have refused this one"
+    assert asks.delay_after_failure(0.1) == PERIOD_S and asks.delay_after_failure(2.0) <= CROWDED_PERIOD_S, (
         "another word is a new beginning"
     )
     few = ReconnectSchedule(random.Random(1), 5)
@@ -211,14 +221,22 @@
         for waited_s in failed:
             asks.delay_after_failure(waited_s)
         rests = [asks.delay_after_failure(2.0) for _ in range(50)]
-        assert RARE_S <= rests[0] <= RARE_S + RARER_S < max(rests) <= RAREST_S
+        assert (
+            OVERLOAD_BACKOFF_S
+            <= rests[0]
+            <= OVERLOAD_BACKOFF_S + OVERLOAD_BACKOFF_STEP_S
+            < max(rests)
+            <= MAX_OVERLOAD_BACKOFF_S
+        )
         asks.reset()
-        assert asks.delay_after_failure(2.0) <= CROWDED_S, "what was before a word of the watch is over"
+        assert asks.delay_after_failure(2.0) <= CROWDED_PERIOD_S, (
+            "what was before a word of the watch is over"
+        )
     for failed in ((0.1,), (0.1, 2.0, 0.1, 0.1)):  # a refusal of one; the return of one that was down
         asks = ReconnectSchedule(random.Random(1), 200)
         for waited_s in failed:
             asks.delay_after_failure(waited_s)
-        assert asks.delay_after_failure(2.0) <= CROWDED_S
+        assert asks.delay_after_failure(2.0) <= CROWDED_PERIOD_S
 
 
 def test_a_refusal_of_an_older_call_says_nothing_once_the_newest_was_refused(monkeypatch):
@@ -239,7 +257,7 @@
 def test_those_who_asked_at_once_do_not_go_on_in_step():
     # Guards against all moved by one configuration, which keep their places from then on.
     asks = [ReconnectSchedule(random.Random(seed), 200) for seed in range(200)]
-    for waited_s, top_s in ((0.1, PERIOD_S), (2.0, CROWDED_S)):
+    for waited_s, top_s in ((0.1, PERIOD_S), (2.0, CROWDED_PERIOD_S)):
         for one in asks:
             one.initial_spread_s = 0.0
             one.reset()
@@ -247,13 +265,15 @@
         rests = sorted(one.delay_after_failure(waited_s) for one in asks)
         assert rests[0] < waited_s + 0.1 and rests[-1] <= top_s
         assert max(b - a for a, b in zip(rests, rests[10:], strict=False)) < 0.4
-        if waited_s >= WAITED_S:
-            assert {one.delay_after_failure(0.1) for one in asks} == {AGAIN_S}, "each after a rest of its own"
+        if waited_s >= QUEUED_S:
+            assert {one.delay_after_failure(0.1) for one in asks} == {QUICK_RETRY_S}, (
+                "each after a rest of its own"
+            )
         assert {one.delay_after_failure(0.1) for one in asks} == {PERIOD_S}
     for one in asks:
         one.initial_delay()
     besides = sorted(one.delay_to_parallel_call() for one in asks)
-    assert besides[0] < PERIOD_S + 0.1 and CROWDED_S - 0.1 < besides[-1] <= CROWDED_S, (
+    assert besides[0] < PERIOD_S + 0.1 and CROWDED_PERIOD_S - 0.1 < besides[-1] <= CROWDED_PERIOD_S, (
         "nor where they get no answer"
     )
 
@@ -261,6 +281,6 @@
 def test_only_the_first_refusal_after_a_silence_is_answered_by_asking_again_at_once():
     asks = ReconnectSchedule(random.Random(1), 200)
     asks.delay_after_silence()
-    assert asks.delay_after_failure(0.1) == AGAIN_S and asks.delay_after_failure(0.1) == PERIOD_S
+    assert asks.delay_after_failure(0.1) == QUICK_RETRY_S and asks.delay_after_failure(0.1) == PERIOD_S
     asks.delay_after_silence()
     assert asks.delay_after_failure() == PERIOD_S, "nobody was there to refuse"
