--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -1,4 +1,4 @@
-"""The RESP2 server: PING, OUT.ADD and their answers, and a plain error for bad input."""
+"""The RESP2 front: PING and OUT.ADD, with an error for any other input."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 PONG = b"+PONG\r\n"
 REFUSED = Reply("refused")
-NOTHING = object()  # what the reader gives while no request is complete
-MOST_LINE = 16  # bytes of a line that tells a length
-MOST_KEY = 32  # digits of a key of order
-IDEMPOTENCY = re.compile(rb"[!-~]{0,%d}" % MAX_ID_BYTES)
-BURST = 32  # requests of one connection that are served, or without their answers, at once
-REST_S = 0.005  # before the further ones
-TURNED_AWAY_S = 0.1  # before anything more is read of one that was turned away
+INCOMPLETE = object()  # returned by the reader while no request is complete
+MAX_LENGTH_LINE_BYTES = 16
+MAX_KEY_DIGITS = 32  # of an ordering key
+IDEMPOTENCY_KEY = re.compile(rb"[!-~]{0,%d}" % MAX_ID_BYTES)
+MAX_BURST = 32  # requests of one connection served in a row, or open at a time
+BURST_PAUSE_S = 0.005  # after a burst, so that other connections are served
+ERROR_PAUSE_S = 0.1  # after an invalid request, before the connection is read again
 
 
 def error_line(text: str) -> bytes:
@@ -31,7 +31,7 @@
 
 
 def answer_line(reply: Reply) -> bytes:
-    """What became of an OUT.ADD, on the wire."""
+    """The answer to an OUT.ADD on the wire."""
     if reply.status == "taken":
         return b"+OK\r\n"
     if reply.status == "refused":
@@ -39,14 +39,14 @@
     return error_line("the message cannot be delivered")
 
 
-def number(text: str, name: str) -> int:
+def parse_number(text: str, name: str) -> int:
     if not (text.isascii() and text.isdecimal()) or len(text) > 15:
         raise BadRequest(f"{name} must be a whole number, not {text[:40]!r}")
     return int(text)
 
 
 def parse_offer(words: list[bytes]) -> Submission:
-    """The words of an OUT.ADD."""
+    """Parse the words of an OUT.ADD. Raises `BadRequest` with a text for the client."""
     if len(words) != 5:
         raise BadRequest(f"OUT.ADD takes key, id, fields and body, not {len(words) - 1} words")
     _, key, name, fields, body = words
@@ -54,83 +54,85 @@
         raise BadRequest(f"the id must be 1 to {MAX_ID_BYTES} printable characters without spaces")
     if len(body) > MAX_BODY_BYTES:
         raise BadRequest(f"the body has {len(body)} bytes, more than {MAX_BODY_BYTES}")
-    if not re.fullmatch(rb"[0-9a-fA-F]{1,%d}" % MOST_KEY, key):
+    if not re.fullmatch(rb"[0-9a-fA-F]{1,%d}" % MAX_KEY_DIGITS, key):
         raise BadRequest(f"the key must be hexadecimal, not {key[:40]!r}")
-    told = dict(pair.partition("=")[::2] for pair in fields.decode("latin-1").split(","))
-    for wanted in ("c", "d", "dest"):
-        if wanted not in told:
-            raise BadRequest(f"the field {wanted} is missing")
-    idempotency = told.get("k", "").encode("latin-1")
-    if not IDEMPOTENCY.fullmatch(idempotency):
+    found = dict(pair.partition("=")[::2] for pair in fields.decode("latin-1").split(","))
+    for required in ("c", "d", "dest"):
+        if required not in found:
+            raise BadRequest(f"the field {required} is missing")
+    idempotency = found.get("k", "").encode("latin-1")
+    if not IDEMPOTENCY_KEY.fullmatch(idempotency):
         raise BadRequest(f"k must be up to {MAX_ID_BYTES} printable characters without spaces")
     return Submission(
         name,
-        told["c"],
-        number(told["dest"], "dest"),
-        float(number(told["d"], "d")),
+        found["c"],
+        parse_number(found["dest"], "dest"),
+        float(parse_number(found["d"], "d")),
         body,
         int(key, 16),
-        told.get("r") == "1",
-        tenant=told.get("t", ""),
+        found.get("r") == "1",
+        tenant=found.get("t", ""),
         idempotency=idempotency,
     )
 
 
 class Framing:
-    """Follows the input ahead of hiredis, which on `*2000000000` makes room for so many words before one has
-    come, and takes six seconds to give it back."""
+    """Validates array and string lengths before hiredis reads them: on `*2000000000` hiredis allocates so
+    many words at once, and needs six seconds to free them."""
 
     COUNT, LENGTH, END = (re.compile(line) for line in (rb"\*([1-9]\d?)\r\n", rb"\$(\d{1,6})\r\n", rb"\r\n"))
 
     def __init__(self) -> None:
         self.expected, self.line = self.COUNT, b""
-        self.words = self.skip = 0  # words of the request and bytes of the word that are yet to come
-        self.size = 0  # bytes of the request so far
-        self.wrong = ""  # why nothing further can be read
+        self.words_left = self.skip_bytes = 0  # still to come of the request and of the word
+        self.size = 0  # bytes received of the request
+        self.error = ""  # why no further input can be read
 
-    def follow(self, data: bytes) -> int:
-        """How many bytes of the data can be read; fewer than all if `wrong` says why."""
+    def accept_bytes(self, data: bytes) -> int:
+        """How many bytes of the data may be fed to hiredis; fewer than all if `error` is set."""
         at = 0
-        while at < len(data) and not self.wrong:
-            if self.skip:
-                step = min(self.skip, len(data) - at)
-                self.skip -= step
+        while at < len(data) and not self.error:
+            if self.skip_bytes:
+                step = min(self.skip_bytes, len(data) - at)
+                self.skip_bytes -= step
             else:
-                end = data.find(b"\n", at, at + MOST_LINE)
-                step = (end + 1 if end >= 0 else min(len(data), at + MOST_LINE)) - at
+                end = data.find(b"\n", at, at + MAX_LENGTH_LINE_BYTES)
+                step = (end + 1 if end >= 0 else min(len(data), at + MAX_LENGTH_LINE_BYTES)) - at
                 self.line += data[at : at + step]
-                if end >= 0 or len(self.line) >= MOST_LINE:
+                if end >= 0 or len(self.line) >= MAX_LENGTH_LINE_BYTES:
                     self.read(self.line)
                     self.line = b""
-                if self.wrong:
+                if self.error:
                     break
             at += step
-            self.size = self.size + step if self.words or self.expected is not self.COUNT or self.line else 0
+            self.size = (
+                self.size + step if self.words_left or self.expected is not self.COUNT or self.line else 0
+            )
         return at
 
     def read(self, line: bytes) -> None:
-        told = self.expected.fullmatch(line)
-        if not told:
-            self.wrong = f"Protocol error: expected an array of bulk strings, not {line!r}"
+        found = self.expected.fullmatch(line)
+        if not found:
+            self.error = f"Protocol error: expected an array of bulk strings, not {line!r}"
         elif self.expected is self.COUNT:
-            self.words, self.expected = int(told[1]), self.LENGTH
+            self.words_left, self.expected = int(found[1]), self.LENGTH
         elif self.expected is self.LENGTH:
-            self.words, self.skip, self.expected = self.words - 1, int(told[1]), self.END
-            if self.size + self.skip > MAX_REQUEST_BYTES:
-                self.wrong = f"a request of more than {MAX_REQUEST_BYTES} bytes"
+            self.words_left, self.skip_bytes, self.expected = self.words_left - 1, int(found[1]), self.END
+            if self.size + self.skip_bytes > MAX_REQUEST_BYTES:
+                self.error = f"a request of more than {MAX_REQUEST_BYTES} bytes"
         else:
-            self.expected = self.LENGTH if self.words else self.COUNT
+            self.expected = self.LENGTH if self.words_left else self.COUNT
 
 
 class Resp2Connection(ClientConnection):
-    """One client connection; answers go out in the order of the requests."""
+    """A client connection that speaks RESP2, with pipelining."""
 
     name = "resp2"
 
     def __init__(self, server: ConnectionOwner) -> None:
         super().__init__(server)
-        self.framing, self.reader = Framing(), hiredis.Reader(notEnoughData=NOTHING)
-        self.tail = bytearray()  # of the input: the request that has not come whole
+        self.framing, self.reader = Framing(), hiredis.Reader(notEnoughData=INCOMPLETE)
+        self.tail = bytearray()  # the request received in part
 
     def error(self, text: str, fault: ErrorReason) -> bytes:
         return self.refusal() if fault is ErrorReason.LEAVING else error_line(text)
@@ -142,11 +144,11 @@
         if self.ignores_input or self.input_closed:
             return
         self.mark_received()
-        self.reader.feed(data[: self.framing.follow(data)])
+        self.reader.feed(data[: self.framing.accept_bytes(data)])
         self.tail += data
         del self.tail[: len(self.tail) - self.framing.size]
         if not self.set_incomplete_size(self.framing.size):
-            self.framing.wrong = self.framing.wrong or "too many requests are half sent"
+            self.framing.error = self.framing.error or "too many requests are half sent"
         if self.resting is None:
             self.serve()
 
@@ -163,8 +165,8 @@
         return bytes(self.tail)
 
     def serve(self) -> None:
-        """Take the requests that have come; guards against one connection that holds up all others. The
-        connection is not closed between two requests of which both were read."""
+        """Serve the requests received, in bursts so that one connection cannot starve the others. While
+        `serving` is set the connection does not count as idle, so it is not closed between two of them."""
         self.resting = None
         self.serving = True
         try:
@@ -172,61 +174,61 @@
         finally:
             self.serving = False
         if rest_s:
-            self.rest(rest_s)
+            self.pause(rest_s)
             return
-        if self.framing.wrong and not self.ignores_input:
-            self.refuse(self.framing.wrong, ErrorReason.BAD)
+        if self.framing.error and not self.ignores_input:
+            self.refuse(self.framing.error, ErrorReason.BAD)
         self.update_reading()
         if self.draining:
             self.close_if_idle()
 
     def serve_burst(self) -> float:
-        """Take some requests; for how many seconds nothing more is served, 0 where no whole one is left."""
-        for _ in range(BURST):
-            if len(self.slots) >= BURST:
+        """Serve up to `MAX_BURST` requests; returns the pause in seconds, 0 if no complete one is left."""
+        for _ in range(MAX_BURST):
+            if len(self.slots) >= MAX_BURST:
                 break
-            if (words := self.next_request()) is NOTHING:
+            if (words := self.next_request()) is INCOMPLETE:
                 return 0.0
-            if not self.request(words):
-                return TURNED_AWAY_S
-        return REST_S
+            if not self.serve_request(words):
+                return ERROR_PAUSE_S
+        return BURST_PAUSE_S
 
     def next_request(self) -> list[bytes] | object:
-        """The words of the next whole request, or `NOTHING`."""
+        """The words of the next complete request, or `INCOMPLETE`."""
         try:
             return self.reader.gets()
         except hiredis.HiredisError as error:
-            self.framing.wrong = f"Protocol error: {error}"
-            return NOTHING
+            self.framing.error = f"Protocol error: {error}"
+            return INCOMPLETE
 
     def answer_unserved(self) -> None:
-        """What was read whole while the connection rested is refused: nobody may be there to hear more."""
+        """Refuse complete requests read during a pause, since the client may be gone."""
         if self.resting is None:
             return
         self.resting.cancel()
         self.resting = None
-        while (words := self.next_request()) is not NOTHING:
+        while (words := self.next_request()) is not INCOMPLETE:
             slot = ResponseSlot()
             self.slots.append(slot)
-            asked = words[0].upper() == b"PING"
-            self.reply(slot, PONG if asked else self.refusal())
+            is_ping = words[0].upper() == b"PING"
+            self.reply(slot, PONG if is_ping else self.refusal())
 
-    def rest(self, seconds: float) -> None:
+    def pause(self, seconds: float) -> None:
         self.resting = self.loop.call_later(seconds, self.serve)
         self.update_reading()
 
     def answer(self, slot: ResponseSlot, reply: Reply) -> bool:
-        """What became of an offer; False where an acceptance did not reach the system whole, in this step."""
+        """Answer a submission. Returns False if an acceptance did not reach the kernel whole."""
         if reply.status == "taken":
             if self.reachable(slot):
                 return self.reply_now(slot, answer_line(reply))
-            if slot.handles:  # its client has gone since the core looked
+            if slot.handles:  # the client has gone since the core checked
                 self.reply(slot, self.refusal())
                 return False
-        return self.reply(slot, answer_line(reply))  # also of a message that was accepted before, once
+        return self.reply(slot, answer_line(reply))  # also a repeat of an accepted message
 
-    def request(self, words: list[bytes]) -> bool:
-        """Whether the request makes sense."""
+    def serve_request(self, words: list[bytes]) -> bool:
+        """Serve one request. Returns whether it was valid."""
         slot = ResponseSlot()
         self.slots.append(slot)
         command = words[0].upper()
@@ -240,7 +242,7 @@
                     reachable=lambda: self.reachable(slot),
                     check_client=self.check_client,
                 )
-                if slot.accepted and handle:  # a message that was accepted before
+                if slot.accepted and handle:  # a repeat of an accepted message
                     self.receipts.accepted(handle, self.loop.time())
                     self.schedule_receipt_check()
                 elif not slot.answer:
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -333,7 +333,7 @@
 
 def test_many_requests_at_once_are_served_in_turns_and_none_is_lost(monkeypatch):
     # Guards against one connection that holds up all others.
-    monkeypatch.setattr(clients, "BURST", 4)
+    monkeypatch.setattr(clients, "MAX_BURST", 4)
 
     @with_server()
     async def _(server, acceptor):
@@ -349,7 +349,7 @@
 
 def test_after_an_error_nothing_is_read_for_a_while(monkeypatch):
     # Guards against a client that asks the same again as soon as it is turned away.
-    monkeypatch.setattr(clients, "TURNED_AWAY_S", 30.0)
+    monkeypatch.setattr(clients, "ERROR_PAUSE_S", 30.0)
 
     @with_server()
     async def _(server, acceptor):
@@ -375,10 +375,10 @@
     while at < len(text):
         step = data.draw(st.integers(1, len(text)))
         piece = text[at : at + step]
-        assert framing.follow(piece) == len(piece) and not framing.wrong
+        assert framing.accept_bytes(piece) == len(piece) and not framing.error
         at += step
     assert framing.size == 0
-    assert framing.follow(b"*1\r\n$4\r\nPI") == 10 and framing.size == 10
+    assert framing.accept_bytes(b"*1\r\n$4\r\nPI") == 10 and framing.size == 10
 
 
 def test_those_who_wait_in_the_queue_of_a_listener_that_closes_are_served():
