--- a/rushhitch/fronts/listener.py
+++ b/rushhitch/fronts/listener.py
@@ -177,8 +177,8 @@
         return self.evict_next(now)
 
     def evict_next(self, now: float, new_only: bool = False) -> bool:
-        """Evict the next candidate that may still be evicted; returns whether there was one. `new_only` is for
-        an older choice: connections accepted since rank before those that were served."""
+        """Evict the next candidate that may still be evicted; returns whether there was one. `new_only` is
+        for an older choice: connections accepted since rank before those that were served."""
         while self.eviction_candidates and not (new_only and self.eviction_candidates[0].asked):
             client = self.eviction_candidates.popleft()
             if client in self.clients and client.activity.eviction_rank(now) is not None and client.evict():
@@ -205,7 +205,7 @@
 
     async def accept_backlog(self) -> None:
         """Accept the connections in the queues, a batch per loop iteration so that evicted ones free their
-        descriptors. Closing a listener resets what is still in its queue, unless another process shares it."""
+        descriptors. Closing a listener resets its queue, unless another process shares it."""
         self.pause_listening()
         until = self.loop.time() + BACKLOG_ACCEPT_LIMIT_S
         for listener, front in zip(self.listeners, self.fronts.values(), strict=True):
