--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -1,7 +1,7 @@
-"""The CloudEvents front: HTTP/1.1 requests with events in, answers by status out (HTTP binding 1.0.2; problem
-documents by RFC 9457; `Prefer: wait` by RFC 7240). Imported only where it is on.
+"""The CloudEvents front: takes events by HTTP/1.1 (HTTP binding 1.0.2) and answers by status, with problem
+documents (RFC 9457) and `Prefer: wait` (RFC 7240). Imported only if enabled.
 
-h11 reads the requests: pipelining, keep-alive, chunked bodies, `Expect: 100-continue`, lengths that lie.
+h11 parses the requests: pipelining, keep-alive, chunked bodies, `Expect: 100-continue`, wrong lengths.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
     ResponseSlot,
 )
 
-MOST_AHEAD = 65_536  # bytes of further requests that are read while one is under way
-MOST_HEAD = 32_768  # bytes: 64 attributes as headers, most of them short
-PENDING_MS = 1_000.0  # told where the same event is being taken on: by then it is
-REFUSED_MS = 1_000.0  # told with a refusal for which the core names no time
-MOST_WAIT_S = 60.0  # of a client that waits for the end: no message lives longer here
+MAX_PIPELINED_BYTES = 65_536  # read ahead while a request is open
+MAX_HEAD_BYTES = 32_768  # 64 attributes as headers, most of them short
+PENDING_RETRY_MS = 1_000.0  # while the same event is being accepted, which is done by then
+REFUSED_RETRY_MS = 1_000.0  # for refusals for which the core gives no time
+MAX_WAIT_S = 60.0  # no message lives longer here
 PROBLEM, JSON = b"application/problem+json", b"application/json"
-WAIT = re.compile(r"(?:^|[,;\s])wait\s*=\s*\"?(\d{1,6})\"?(?:$|[,;\s])", re.IGNORECASE)
+WAIT_PREFERENCE = re.compile(r"(?:^|[,;\s])wait\s*=\s*\"?(\d{1,6})\"?(?:$|[,;\s])", re.IGNORECASE)
 _json = msgspec.json.Encoder().encode
 
 STATUS = {"taken": 202, "delivered": 200, "failed": 502, "refused": 503}
 STATUS |= {"acknowledged": 200, "unknown": 404, "differs": 409, "late": 410}
-FAULTS = {ErrorReason.BAD: 400, ErrorReason.LATE: 408, ErrorReason.CROWD: 503, ErrorReason.LEAVING: 503}
+ERROR_STATUS = {ErrorReason.BAD: 400, ErrorReason.LATE: 408, ErrorReason.CROWD: 503, ErrorReason.LEAVING: 503}
 DETAIL = {
     "failed": "the event was not delivered, or may have been: to send it again as a new event may repeat it",
     "refused": "the event was not taken on, or never left: to send it again does no harm",
@@ -52,171 +52,172 @@
 
 
 @dataclass(slots=True)
-class Outcome:
-    """What a request says of one event: an HTTP status, 0 until the core has answered, and a JSON object."""
+class EventResult:
+    """The answer for one event: an HTTP status (0 until the core has answered) and a JSON object."""
 
     status: int
     body: dict[str, Any]
     wait_ms: float = 0.0
-    settled: bool = False  # nothing further is to come
+    settled: bool = False  # final
 
     @classmethod
-    def problem(cls, status: int, detail: str, wait_ms: float = 0.0, **more: str) -> Outcome:
-        """A problem document (RFC 9457); the status tells its type."""
-        shown = {"title": HTTPStatus(status).phrase, "status": status, "detail": detail}
-        return cls(status, shown | {name: value for name, value in more.items() if value}, wait_ms, True)
+    def problem(cls, status: int, detail: str, wait_ms: float = 0.0, **extra: str) -> EventResult:
+        """A problem document (RFC 9457), whose type is given by the status."""
+        body = {"title": HTTPStatus(status).phrase, "status": status, "detail": detail}
+        return cls(status, body | {name: value for name, value in extra.items() if value}, wait_ms, True)
 
 
-def outcome_of(reply: Reply, event: Event) -> Outcome:
-    """What a client hears of an event's state."""
+def result_of(reply: Reply, event: Event) -> EventResult:
+    """The answer to a client for a reply of the core."""
     source, name = event.identity
-    shown: dict[str, Any] = {"source": source, "id": name, "state": reply.status}
+    body: dict[str, Any] = {"source": source, "id": name, "state": reply.status}
     if reply.status in DETAIL:
-        shown = Outcome.problem(STATUS[reply.status], DETAIL[reply.status]).body | shown
-    wait_ms = (reply.wait_ms or REFUSED_MS) if reply.status == "refused" else 0.0
-    return Outcome(STATUS[reply.status], shown, wait_ms, reply.status != "taken")
+        body = EventResult.problem(STATUS[reply.status], DETAIL[reply.status]).body | body
+    wait_ms = (reply.wait_ms or REFUSED_RETRY_MS) if reply.status == "refused" else 0.0
+    return EventResult(STATUS[reply.status], body, wait_ms, reply.status != "taken")
 
 
-def wait_of(headers: list[tuple[str, str]]) -> float:
+def preferred_wait(headers: list[tuple[str, str]]) -> float:
     """Seconds of `Prefer: wait=N` (RFC 7240, section 4.3); 0 without one."""
     for name, value in headers:
-        if name == "prefer" and (found := WAIT.search(value)):
-            return min(float(found[1]), MOST_WAIT_S)
+        if name == "prefer" and (found := WAIT_PREFERENCE.search(value)):
+            return min(float(found[1]), MAX_WAIT_S)
     return 0.0
 
 
-class Intake:
-    """The events of one request on their way through the core. `done` is called once, when each has been
-    answered, and, with a wait, has ended or the wait is over."""
+class RequestEvents:
+    """The events of one request while the core processes them. `on_done` is called once, when the core has
+    answered each and, with a wait, each message has ended or the wait has expired."""
 
-    def __init__(self, acceptor: Acceptor, rules: Rules, done: Callable[[], None]) -> None:
-        self.acceptor, self.rules, self.done = acceptor, rules, done
+    def __init__(self, acceptor: Acceptor, rules: Rules, on_done: Callable[[], None]) -> None:
+        self.acceptor, self.rules, self.on_done = acceptor, rules, on_done
         self.loop = asyncio.get_running_loop()
-        self.outcomes: list[Outcome] = []
-        self.handles: dict[int, int] = {}  # of offers without an answer, by place
-        self.open: set[int] = set()  # places whose outcome is awaited
+        self.results: list[EventResult] = []
+        self.handles: dict[int, int] = {}  # of submissions not answered yet, by index of the event
+        self.unsettled: set[int] = set()  # indices of events without a final result
         self.wait_s = 0.0
-        self.twins: dict[int, int] = {}  # places of an identity that an earlier place has
-        self.timer: asyncio.TimerHandle | None = None
-        self.started = self.over = False
+        self.duplicates: dict[int, int] = {}  # index of an event to the earlier one with the same identity
+        self.wait_timer: asyncio.TimerHandle | None = None
+        self.all_submitted = self.finished = False
 
     def start(self, events: list[Event | BadEvent], wait_s: float) -> None:
         self.wait_s = wait_s
-        self.outcomes = [Outcome(0, {}) for _ in events]
-        self.open = set(range(len(events)))
+        self.results = [EventResult(0, {}) for _ in events]
+        self.unsettled = set(range(len(events)))
         if wait_s:
-            self.timer = self.loop.call_later(wait_s, self.finish)
-        first: dict[bytes, int] = {}
-        for place, event in enumerate(events):
+            self.wait_timer = self.loop.call_later(wait_s, self.finish)
+        first_index: dict[bytes, int] = {}
+        for index, event in enumerate(events):
             if isinstance(event, BadEvent):
-                self.settle(place, Outcome.problem(event.status, event.detail, attribute=event.attribute))
+                self.settle(index, EventResult.problem(event.status, event.detail, attribute=event.attribute))
                 continue
             try:
-                told = acknowledgement(event, self.rules.acks)
-                if told is not None:
+                acknowledged = acknowledgement(event, self.rules.acks)
+                if acknowledged is not None:
                     self.acceptor.acknowledge(
-                        told, lambda reply, at=place, of=event: self.told(at, reply, of)
+                        acknowledged, lambda reply, at=index, of=event: self.on_reply(at, reply, of)
                     )
                     continue
-                offer = self.offer_of(event)
+                submission = self.submission_of(event)
             except BadEvent as error:
-                self.settle(place, Outcome.problem(error.status, error.detail, attribute=error.attribute))
+                self.settle(index, EventResult.problem(error.status, error.detail, attribute=error.attribute))
                 continue
-            if offer.id in first:
-                self.twins[place] = first[offer.id]
-                self.open.discard(place)
+            if submission.id in first_index:
+                self.duplicates[index] = first_index[submission.id]
+                self.unsettled.discard(index)
                 continue
-            first[offer.id] = place
-            self.hand_in(place, event, offer)
-        self.started = True
-        self.check()
+            first_index[submission.id] = index
+            self.submit(index, event, submission)
+        self.all_submitted = True
+        self.finish_if_settled()
 
-    def offer_of(self, event: Event) -> Submission:
-        place = placed(event, self.rules, time.time())
+    def submission_of(self, event: Event) -> Submission:
+        placement = placed(event, self.rules, time.time())
         return Submission(
-            place.id,
-            place.cls,
-            place.destination,
-            place.left_ms,
+            placement.id,
+            placement.cls,
+            placement.destination,
+            placement.left_ms,
             event.data or b"",
-            place.key,
+            placement.key,
             attributes=_json(event.attributes),
             remember=True,
         )
 
-    def hand_in(self, place: int, event: Event, offer: Submission) -> None:
+    def submit(self, index: int, event: Event, submission: Submission) -> None:
         def answered(reply: Reply) -> None:
-            self.handles.pop(place, None)
-            self.told(place, reply, event)
+            self.handles.pop(index, None)
+            self.on_reply(index, reply, event)
 
         try:
-            handle = self.acceptor.offer(offer, answered, lambda end: self.told(place, end, event))
+            handle = self.acceptor.offer(submission, answered, lambda end: self.on_reply(index, end, event))
         except Pending as error:
-            self.settle(place, Outcome.problem(503, str(error), PENDING_MS))
+            self.settle(index, EventResult.problem(503, str(error), PENDING_RETRY_MS))
         except BadRequest as error:
-            self.settle(place, Outcome.problem(400, str(error)))
+            self.settle(index, EventResult.problem(400, str(error)))
         else:
-            if self.outcomes[place].status == 0:
-                self.handles[place] = handle
+            if self.results[index].status == 0:
+                self.handles[index] = handle
 
-    def told(self, place: int, reply: Reply, event: Event) -> None:
-        """The core's word on one event; after the request's answer nobody listens any more."""
-        if self.over:
+    def on_reply(self, index: int, reply: Reply, event: Event) -> None:
+        """Called with each reply of the core for one event; ignored once the request is answered."""
+        if self.finished:
             return
-        outcome = outcome_of(reply, event)
-        self.outcomes[place] = outcome
-        if outcome.settled or not self.wait_s:
-            self.open.discard(place)
-            self.check()
-
-    def settle(self, place: int, outcome: Outcome) -> None:
-        self.outcomes[place] = outcome
-        self.open.discard(place)
-
-    def check(self) -> None:
-        if self.started and not self.open and not self.over:
+        result = result_of(reply, event)
+        self.results[index] = result
+        if result.settled or not self.wait_s:
+            self.unsettled.discard(index)
+            self.finish_if_settled()
+
+    def settle(self, index: int, result: EventResult) -> None:
+        self.results[index] = result
+        self.unsettled.discard(index)
+
+    def finish_if_settled(self) -> None:
+        if self.all_submitted and not self.unsettled and not self.finished:
             self.finish()
 
     def finish(self) -> None:
-        """Tell what is known. An event that the core has not answered yet keeps the request open."""
-        if self.over:
+        """Stop waiting and answer with the current states. The request stays open while the core has not
+        answered each event."""
+        if self.finished:
             return
         self.wait_s = 0.0
-        self.open = {place for place in self.open if not self.outcomes[place].status}
-        if self.open:
+        self.unsettled = {index for index in self.unsettled if not self.results[index].status}
+        if self.unsettled:
             return
-        self.over = True
-        if self.timer is not None:
-            self.timer.cancel()
-        for place, twin in self.twins.items():
-            self.outcomes[place] = self.outcomes[twin]
-        self.done()
+        self.finished = True
+        if self.wait_timer is not None:
+            self.wait_timer.cancel()
+        for index, original in self.duplicates.items():
+            self.results[index] = self.results[original]
+        self.on_done()
 
 
 class CloudEventsConnection(ClientConnection):
-    """One client connection. Requests are served one after another, in the order in which they came."""
+    """A client connection that speaks HTTP/1.1. Pipelined requests are served one at a time, in order."""
 
     name = "cloudevents"
 
     def __init__(self, server: ConnectionOwner, rules: Rules) -> None:
         super().__init__(server)
         self.rules = rules
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.request: h11.Request | None = None
         self.body = bytearray()
-        self.intake: Intake | None = None
-        self.ended = False  # the client has ended its sending
+        self.request_events: RequestEvents | None = None
+        self.input_ended = False
 
     def error(self, text: str, fault: ErrorReason) -> bytes:
-        return self.response(Outcome.problem(FAULTS[fault], text), close=True)
+        return self.response(EventResult.problem(ERROR_STATUS[fault], text), close=True)
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self.intake is not None and not self.intake.over:
-            self.intake.over = True
-            if self.intake.timer is not None:
-                self.intake.timer.cancel()
+        if self.request_events is not None and not self.request_events.finished:
+            self.request_events.finished = True
+            if self.request_events.wait_timer is not None:
+                self.request_events.wait_timer.cancel()
             for slot in self.slots:
-                slot.handles = list(self.intake.handles.values())
+                slot.handles = list(self.request_events.handles.values())
         super().connection_lost(error)
 
     def data_received(self, data: bytes) -> None:
@@ -227,39 +228,39 @@
         self.serve()
 
     def transferable_input(self) -> bytes | None:
-        """Between requests only: what h11 has read cannot be taken out of it."""
-        if self.intake is not None and not self.intake.over:
-            self.intake.finish()  # whoever waits for an end hears now what is known
-        idle = self.http.our_state is h11.IDLE and not (self.slots or self.size or self.ended)
+        """Between requests only, since h11 does not give back input it has buffered."""
+        if self.request_events is not None and not self.request_events.finished:
+            self.request_events.finish()  # answers a waiting client with the current states
+        idle = self.http.our_state is h11.IDLE and not (self.slots or self.size or self.input_ended)
         return b"" if idle and not (self.ignores_input or self.write_paused or self.draining) else None
 
     def refusal(self) -> bytes:
-        return self.response(Outcome.problem(503, "the process ends", REFUSED_MS), close=True)
+        return self.response(EventResult.problem(503, "the process ends", REFUSED_RETRY_MS), close=True)
 
     def withdraw_requests(self) -> None:
-        """What is known of a request's events is told; those with no answer yet are withdrawn. Its client may
-        post all of them again: by their ids, what was taken on is not a new one."""
-        intake = self.intake
-        if intake is not None and not intake.over:
-            intake.finish()
-        if intake is not None and not intake.over:
-            intake.over = True
-            for handle in list(intake.handles.values()):
+        """Answer the open request with the current states and withdraw the events not answered yet. The
+        client may post all of them again: an accepted one is recognised by its identity."""
+        request_events = self.request_events
+        if request_events is not None and not request_events.finished:
+            request_events.finish()
+        if request_events is not None and not request_events.finished:
+            request_events.finished = True
+            for handle in list(request_events.handles.values()):
                 self.acceptor.withdraw(handle)
         super().withdraw_requests()
 
     def eof_received(self) -> bool:
-        """A client that has ended its sending still hears the answer that is due."""
-        self.ended = True
+        """Keep the connection open for the answer that is due."""
+        self.input_ended = True
         return bool(self.slots)
 
     def serve(self) -> None:
-        """Read on until a request is whole, or more must come."""
+        """Process input until a request is complete or more input is needed."""
         while not self.slots and not self.ignores_input:
             try:
                 event = self.http.next_event()
             except h11.RemoteProtocolError as error:
-                self.turn_away(Outcome.problem(error.error_status_hint, f"not HTTP/1.1: {error}"))
+                self.reject(EventResult.problem(error.error_status_hint, f"not HTTP/1.1: {error}"))
                 return
             if event is h11.NEED_DATA:
                 if self.request is not None and self.http.they_are_waiting_for_100_continue:
@@ -267,49 +268,49 @@
                 break
             if isinstance(event, h11.Request):
                 self.request = event
-                if wrong := self.unwanted(event):
-                    self.turn_away(wrong)
+                if problem := self.check_head(event):
+                    self.reject(problem)
                     return
             elif isinstance(event, h11.Data):
                 self.body += event.data
                 if len(self.body) > MOST_BATCH:
                     what = f"a body of more than {MOST_BATCH} bytes: send several"
-                    self.turn_away(Outcome.problem(413, what))
+                    self.reject(EventResult.problem(413, what))
                     return
             elif isinstance(event, h11.EndOfMessage):
-                self.take()
-            else:  # paused until the answer is out, or the connection has ended
+                self.take_request()
+            else:  # h11 is paused until the answer is sent, or the connection is closed
                 break
-        if self.ended and not self.slots:  # nothing further can come
-            self.finish_up()
+        if self.input_ended and not self.slots:  # no further request can follow
+            self.close_after_answer()
             return
         fits = self.set_incomplete_size(len(self.body) + len(self.http.trailing_data[0]))
         if not fits and not self.slots:
-            self.turn_away(Outcome.problem(503, "too many requests are half sent", REFUSED_MS))
+            self.reject(EventResult.problem(503, "too many requests are half sent", REFUSED_RETRY_MS))
         self.update_reading()
 
     def update_reading(self) -> None:
-        """Guards against a client that sends on and on while it waits for an answer."""
+        """Also stops reading when a client with an open request has sent `MAX_PIPELINED_BYTES` ahead."""
         super().update_reading()
-        if self.slots and self.size > MOST_AHEAD and self.transport is not None:
+        if self.slots and self.size > MAX_PIPELINED_BYTES and self.transport is not None:
             self.transport.pause_reading()
 
-    def unwanted(self, request: h11.Request) -> Outcome | None:
-        """What speaks against a request before its body has come."""
+    def check_head(self, request: h11.Request) -> EventResult | None:
+        """Check a request before its body arrives; returns the problem, None if it is acceptable."""
         if request.method != b"POST":
-            return Outcome.problem(405, f"{request.method[:20].decode('latin-1')}: use POST")
+            return EventResult.problem(405, f"{request.method[:20].decode('latin-1')}: use POST")
         names = [name for name, _ in request.headers]
         if b"transfer-encoding" in names and b"content-length" in names:
-            # Guards against requests that a proxy before us takes apart otherwise (RFC 9112, section 6.1).
-            return Outcome.problem(400, "Content-Length beside Transfer-Encoding: send one of them")
+            # Request smuggling: a proxy may frame such a request differently (RFC 9112, section 6.1).
+            return EventResult.problem(400, "Content-Length beside Transfer-Encoding: send one of them")
         for name, value in request.headers:
             if name == b"content-length" and int(value) > MOST_BATCH:
-                return Outcome.problem(413, f"a body of {int(value)} bytes, more than {MOST_BATCH}")
+                return EventResult.problem(413, f"a body of {int(value)} bytes, more than {MOST_BATCH}")
         return None
 
-    def take(self) -> None:
-        """A request is whole: hand its events in."""
-        assert self.request is not None, "h11 gives the head first"
+    def take_request(self) -> None:
+        """Submit the events of a complete request."""
+        assert self.request is not None, "h11 yields the head first"
         headers = [(name.decode("latin-1"), value.decode("latin-1")) for name, value in self.request.headers]
         body, self.body = bytes(self.body), bytearray()
         slot = ResponseSlot()
@@ -317,26 +318,28 @@
         try:
             mode, events = decode(headers, body)
         except BadEvent as error:
-            wrong = Outcome.problem(error.status, error.detail, attribute=error.attribute)
-            self.reply(slot, self.response(wrong))
+            problem = EventResult.problem(error.status, error.detail, attribute=error.attribute)
+            self.reply(slot, self.response(problem))
             return
         self.asked = True
-        wait_s = wait_of(headers)
-        self.intake = Intake(self.acceptor, self.rules, lambda: self.answer(slot, mode, wait_s))
-        self.intake.start(events, wait_s)
+        wait_s = preferred_wait(headers)
+        self.request_events = RequestEvents(
+            self.acceptor, self.rules, lambda: self.answer(slot, mode, wait_s)
+        )
+        self.request_events.start(events, wait_s)
 
     def answer(self, slot: ResponseSlot, mode: str, wait_s: float) -> None:
-        assert self.intake is not None, "an answer follows an intake"
-        outcomes = self.intake.outcomes
+        assert self.request_events is not None, "the events were submitted"
+        results = self.request_events.results
         applied = [(b"Preference-Applied", b"wait=%d" % wait_s)] if wait_s else []
         if mode == "batch":
-            waits = [outcome.wait_ms for outcome in outcomes if outcome.wait_ms]
-            rows = [outcome.body | {"status": outcome.status} for outcome in outcomes]
-            told = {outcome.status for outcome in outcomes}
-            status = told.pop() if len(told) == 1 else 207 if told else 200
+            waits = [result.wait_ms for result in results if result.wait_ms]
+            rows = [result.body | {"status": result.status} for result in results]
+            statuses = {result.status for result in results}
+            status = statuses.pop() if len(statuses) == 1 else 207 if statuses else 200
             self.reply(slot, self.respond(status, JSON, _json(rows), max(waits, default=0.0), applied))
         else:
-            self.reply(slot, self.response(outcomes[0], headers=applied))
+            self.reply(slot, self.response(results[0], headers=applied))
 
     def reply(self, slot: ResponseSlot, answer: bytes) -> bool:
         written = super().reply(slot, answer)
@@ -345,54 +348,58 @@
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE and not self.draining:
             self.http.start_next_cycle()
             self.request = None
-            self.loop.call_soon(self.serve)  # not deeper and deeper into a pipeline
+            self.loop.call_soon(self.serve)  # not by recursion, which would grow with the pipeline
         else:
-            self.finish_up()
+            self.close_after_answer()
         return written
 
-    def finish_up(self) -> None:
-        """No further request is read here; the connection ends with the answer that is out."""
+    def close_after_answer(self) -> None:
+        """Read no further request; close once the answer is sent."""
         self.ignores_input = True
         self.update_reading()
         self.close(CloseReason.LEAVING if self.draining else CloseReason.ENDED)
 
-    def turn_away(self, outcome: Outcome) -> None:
-        """An answer to what was not read whole: the rest may be anything, so the connection ends."""
+    def reject(self, result: EventResult) -> None:
+        """Answer a request that was not read to its end, and close, since its remaining bytes are unknown."""
         slot = ResponseSlot()
         self.slots.append(slot)
         self.set_incomplete_size(0)
         self.body.clear()
         self.draining = self.ignores_input = True
         self.update_reading()
-        super().reply(slot, self.response(outcome, close=True))
+        super().reply(slot, self.response(result, close=True))
 
     def response(
-        self, outcome: Outcome, close: bool = False, headers: list[tuple[bytes, bytes]] | None = None
+        self, result: EventResult, close: bool = False, headers: list[tuple[bytes, bytes]] | None = None
     ) -> bytes:
-        kind = PROBLEM if outcome.status >= 400 else JSON
-        return self.respond(outcome.status, kind, _json(outcome.body), outcome.wait_ms, headers or [], close)
+        content_type = PROBLEM if result.status >= 400 else JSON
+        return self.respond(
+            result.status, content_type, _json(result.body), result.wait_ms, headers or [], close
+        )
 
     def respond(
         self,
         status: int,
-        kind: bytes,
+        content_type: bytes,
         body: bytes,
         wait_ms: float,
         headers: list[tuple[bytes, bytes]],
         close: bool = False,
     ) -> bytes:
-        """The bytes of an answer; `Retry-After` in whole seconds, rounded up (RFC 9110, section 10.2.3)."""
-        told = [(b"Content-Type", kind), (b"Content-Length", b"%d" % len(body)), *headers]
+        """The bytes of an answer, with `Retry-After` rounded up to seconds (RFC 9110, section 10.2.3)."""
+        answer_headers = [(b"Content-Type", content_type), (b"Content-Length", b"%d" % len(body)), *headers]
         if status == 405:
-            told.append((b"Allow", b"POST"))
+            answer_headers.append((b"Allow", b"POST"))
         if wait_ms:
-            told.append((b"Retry-After", b"%d" % math.ceil(wait_ms / 1000.0)))
+            answer_headers.append((b"Retry-After", b"%d" % math.ceil(wait_ms / 1000.0)))
         if close or self.draining:
-            told.append((b"Connection", b"close"))
+            answer_headers.append((b"Connection", b"close"))
         if self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return b""
         parts = (
-            self.http.send(h11.Response(status_code=status, headers=told, reason=HTTPStatus(status).phrase)),
+            self.http.send(
+                h11.Response(status_code=status, headers=answer_headers, reason=HTTPStatus(status).phrase)
+            ),
             self.http.send(h11.Data(data=body)),
             self.http.send(h11.EndOfMessage()),
         )
@@ -404,5 +411,5 @@
 
 
 def front(rules: Rules) -> Callable[[ConnectionOwner], CloudEventsConnection]:
-    """Makes the connections of a listener."""
+    """Return the factory of a listener's connections."""
     return lambda server: CloudEventsConnection(server, rules)
--- a/tests/test_fronts_cloudevents.py
+++ b/tests/test_fronts_cloudevents.py
@@ -15,7 +15,7 @@
 from rushhitch.core.remembered_ends import End, RememberedEnds
 from rushhitch.core.resumption import resume
 from rushhitch.fronts import admission, cloudevents
-from rushhitch.fronts.cloudevents import front, wait_of
+from rushhitch.fronts.cloudevents import front, preferred_wait
 from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.fronts.resp2 import Resp2Connection
 from rushhitch.journal import Journal
@@ -468,7 +468,7 @@
         request = await front.partner.next()
         client.writer.write(bytes(8_000_000))
         (served,) = front.clients.clients
-        while served.size <= cloudevents.MOST_AHEAD:
+        while served.size <= cloudevents.MAX_PIPELINED_BYTES:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.2)
         assert len(served.http.trailing_data[0]) < 1_000_000
@@ -635,11 +635,11 @@
         ("wait=5", 5.0),
         ("respond-async, wait=10", 10.0),
         ('WAIT="7"; x', 7.0),
-        ("wait=99999", cloudevents.MOST_WAIT_S),
+        ("wait=99999", cloudevents.MAX_WAIT_S),
         ("await=5", 0.0),
         ("wait=-1", 0.0),
         ("", 0.0),
     ],
 )
 def test_the_preference_to_wait_is_read(value, seconds):
-    assert wait_of([("prefer", value)]) == seconds
+    assert preferred_wait([("prefer", value)]) == seconds
