--- a/rushhitch/connection.py
+++ b/rushhitch/connection.py
@@ -132,8 +132,8 @@
             early = self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
             return
-        what = "response received" if early else "connection closed"
-        raise ConnectionResetError(f"{what} before the request was fully written")
+        event_text = "response received" if early else "connection closed"
+        raise ConnectionResetError(f"{event_text} before the request was fully written")
 
     async def event(self) -> h11.Response | h11.Data | h11.EndOfMessage:
         """The next part of the response. Raises `ConnectionResetError` if the connection closes before it,
--- a/rushhitch/discovery.py
+++ b/rushhitch/discovery.py
@@ -52,7 +52,7 @@
 
     def __init__(self, chance: random.Random, dispatchers: int = 1) -> None:
         self.chance, self.failures, self.queued_refusals, self.fast_failures = chance, 0, 0, 0
-        self.after_silence, self.after_long_rest, self.spread_out = False, False, True
+        self.after_silence, self.after_long_delay, self.spread_out = False, False, True
         self.resize(dispatchers)
         self.initial_spread_s = min(self.fleet_spread_s, PERIOD_S)
 
@@ -74,7 +74,7 @@
     def reset(self) -> None:
         """Forget earlier failures: a watch has delivered something."""
         self.failures, self.queued_refusals, self.fast_failures = 0, 0, 0
-        self.after_silence = self.after_long_rest = False
+        self.after_silence = self.after_long_delay = False
 
     def delay_after_silence(self) -> float:
         """Before the call that replaces a silent watch. It is short, since part of the 6 s is already spent;
@@ -95,13 +95,13 @@
         request to refusal. The first refusal after a silence or a long delay is retried quickly: discovery
         may be back and have refused only this call."""
         after_silence, self.after_silence = self.after_silence, False
-        after_long_rest, self.after_long_rest = self.after_long_rest, False
+        after_long_delay, self.after_long_delay = self.after_long_delay, False
         if after_silence and waited_s >= 0.0:
             return QUICK_RETRY_S
         # If all have called at once, a shorter wait already means a queue.
         if waited_s >= (QUEUED_S if self.spread_out or not self.may_crowd else QUICK_RETRY_S):
             return self.delay_when_crowded(waited_s)
-        if after_long_rest and waited_s >= 0.0:
+        if after_long_delay and waited_s >= 0.0:
             return QUICK_RETRY_S
         self.fast_failures = 1 if self.queued_refusals else self.fast_failures + 1
         self.queued_refusals = 0
@@ -133,7 +133,7 @@
         if not self.may_crowd:
             return self.spread_delay(waited_s, PERIOD_S)
         self.queued_refusals += 1
-        self.after_long_rest = True
+        self.after_long_delay = True
         backoff_steps = (
             self.queued_refusals
             if self.fast_failures >= MIN_FAST_FAILURES
@@ -224,13 +224,13 @@
                 await self.read_updates(connection)
             except WatchSilent:
                 log.info("watch ended: it fell silent")
-                rest_s = self.schedule.delay_after_silence()
+                delay_s = self.schedule.delay_after_silence()
             except Exception as error:
                 self.log_failure(error)
-                rest_s = self.schedule.delay_after_end(loop.time() - asked_at)
+                delay_s = self.schedule.delay_after_end(loop.time() - asked_at)
             finally:
                 connection.close()
-            await asyncio.sleep(rest_s)
+            await asyncio.sleep(delay_s)
 
     async def open_stream(self) -> tuple[Connection, float]:
         """Call until one is answered. Returns its connection and the start of the newest call. A call without
@@ -327,10 +327,10 @@
 
 class NoticeSender:
     """Sends the end of each message to the platform until the platform acknowledges it with 204, and then
-    calls `on_heard` with the message's number."""
+    calls `on_acknowledged` with the message's number."""
 
-    def __init__(self, address: tuple[str, int], on_heard: Callable[[int], None]) -> None:
-        self.address, self.on_heard = address, on_heard
+    def __init__(self, address: tuple[str, int], on_acknowledged: Callable[[int], None]) -> None:
+        self.address, self.on_acknowledged = address, on_acknowledged
         self.pending: dict[int, dict[str, Any]] = {}  # by message number, since an id may be reused
         self.wake, self.empty = asyncio.Event(), asyncio.Event()
         self.empty.set()
@@ -412,7 +412,7 @@
         for number, notice in batch.items():
             if self.pending[number] is notice:  # else replaced meanwhile, and still to be sent
                 del self.pending[number]
-                self.on_heard(number)
+                self.on_acknowledged(number)
         if not connection.prepare_next_request():
             self.drop_connection()
 
--- a/rushhitch/fronts/__init__.py
+++ b/rushhitch/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""How clients hand messages in: one file a protocol, one seam to the core."""
+"""Client-facing protocols: one module for each, all on the same connection handling and `Acceptor`."""
--- a/rushhitch/fronts/client_connection.py
+++ b/rushhitch/fronts/client_connection.py
@@ -14,7 +14,7 @@
 from rushhitch.acceptor import Acceptor
 from rushhitch.fronts import admission
 from rushhitch.fronts.admission import ConnectionActivity
-from rushhitch.fronts.receipts import BLIND_DOUBT_S, SLACK_S, Ending, Receipts
+from rushhitch.fronts.receipts import MIN_RECEIPT_DOUBT_S, SLACK_S, Ending, Receipts
 from rushhitch.fronts.socket_state import ending_of, unacknowledged, unsent
 
 log = logging.getLogger(__name__)
@@ -53,10 +53,10 @@
 class ErrorReason(Enum):
     """Why a connection is closed with an error answer."""
 
-    BAD = "it sent what cannot be read"
-    LATE = "what was due of it did not come"
-    CROWD = "there are too many of them"
-    LEAVING = "the process ends"
+    MALFORMED = "it sent what cannot be read"
+    TIMED_OUT = "what was due of it did not come"
+    TOO_MANY_CLIENTS = "there are too many of them"
+    SHUTDOWN = "the process ends"
 
 
 class CloseReason(Enum):
@@ -66,8 +66,8 @@
     IDLE = "idle"  # no request for `admission.IDLE_S`
     MADE_ROOM = "made_room"  # evicted between requests for a new connection
     ENDED = "ended"  # the client closed its sending side or asked for a close
-    STUCK = "stuck"  # the client does not read its answers
-    LEAVING = "leaving"  # this process shuts down
+    NOT_READING = "stuck"  # the client does not read its answers
+    SHUTDOWN = "leaving"  # this process shuts down
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
     tail: bytes  # of a request received in part
     asked: bool  # it has made a valid request
     heard_at: float  # as in `ClientConnection`, in seconds of the monotonic clock that both processes share
-    doubtful: list[int]  # handles of messages whose acceptance the client may not have received
+    unconfirmed: list[int]  # handles of messages whose acceptance the client may not have received
 
 
 class ClientConnection(asyncio.Protocol):
@@ -102,7 +102,7 @@
         self.ignores_input = False  # after malformed input
         self.draining = False  # closes as soon as no request is open
         self.serving = False  # in the loop that takes requests from the reader
-        self.close_reason = CloseReason.LEAVING  # used when draining ends
+        self.close_reason = CloseReason.SHUTDOWN  # used when draining ends
         self.input_closed = False  # the client closed its sending side
         self.has_room: bool | None = None  # as found at accept; None if not checked
         self.receipts = Receipts()
@@ -150,7 +150,7 @@
         self.transport = transport  # type: ignore[assignment]
         self.server.connecting.pop(self, None)
         if not (self.server.make_room() if self.has_room is None else self.has_room):
-            self.refuse("too many clients are connected", ErrorReason.CROWD)
+            self.refuse("too many clients are connected", ErrorReason.TOO_MANY_CLIENTS)
         self.server.clients[self] = None
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -169,16 +169,16 @@
 
     def abandon_unconfirmed(self, ending: Ending) -> None:
         """The client has gone: abandon the messages whose acceptance it may not have received."""
-        if not self.receipts.doubtful:
+        if not self.receipts.unconfirmed:
             return
         assert self.sock is not None, "it has had answers"
-        for handle in self.receipts.unheard(ending, unacknowledged(self.sock)):
+        for handle in self.receipts.take_unconfirmed(ending, unacknowledged(self.sock)):
             self.acceptor.abandon(handle, ending.value)
 
     def schedule_receipt_check(self) -> None:
         """If receipt of an answer is in doubt, check soon whether the client is still connected."""
-        if self.receipts.doubtful and self.receipt_check_timer is None:
-            self.receipt_check_timer = self.loop.call_later(BLIND_DOUBT_S, self.check_receipts)
+        if self.receipts.unconfirmed and self.receipt_check_timer is None:
+            self.receipt_check_timer = self.loop.call_later(MIN_RECEIPT_DOUBT_S, self.check_receipts)
 
     def check_receipts(self) -> None:
         """Runs from a timer, by which time the loop has read the input that had arrived."""
@@ -186,20 +186,20 @@
         if self.sock is None or not self.is_open():
             return
         self.check_client()  # input stays unread while `resting`
-        now, unconfirmed = self.loop.time(), unacknowledged(self.sock)
-        for handle in self.receipts.overdue(unconfirmed, now):
+        now, unacknowledged_bytes = self.loop.time(), unacknowledged(self.sock)
+        for handle in self.receipts.overdue(unacknowledged_bytes, now):
             self.acceptor.abandon(handle, NOT_CONFIRMED)
-        again_at = self.receipts.still_there(unconfirmed, now)
+        again_at = self.receipts.confirm_older(unacknowledged_bytes, now)
         if again_at is not None:
             self.receipt_check_timer = self.loop.call_at(again_at, self.check_receipts)
 
-    def check_client(self, seen: Ending | None = None) -> None:
-        """Abandon unconfirmed messages if the client has gone; called before anything is done for it. `seen`
-        is the ending already read: a reset may follow an end of input, which is read first."""
-        if not self.receipts.doubtful:
+    def check_client(self, known_ending: Ending | None = None) -> None:
+        """Abandon unconfirmed messages if the client has gone; called before anything is done for it.
+        `known_ending` is the ending already read: a reset may follow an end of input, which is read first."""
+        if not self.receipts.unconfirmed:
             return
         assert self.sock is not None, "it has had answers"
-        if (ending := ending_of(self.sock) or seen) is not None:
+        if (ending := ending_of(self.sock) or known_ending) is not None:
             self.abandon_unconfirmed(ending)
 
     def update_reading(self) -> None:
@@ -255,7 +255,7 @@
             sent = 0
         self.slots.popleft()
         if sent < len(answer):
-            self.close(CloseReason.STUCK, abort=True)
+            self.close(CloseReason.NOT_READING, abort=True)
             return False
         self.receipts.wrote(sent)
         slot.accepted = True
@@ -287,7 +287,7 @@
         """A client that closed in order resets on a later write. That reset must not count as an unread
         answer; a client that is half-closed and still reading sends none."""
         if self.sock is not None and ending_of(self.sock) is Ending.RESET:
-            self.receipts.left()
+            self.receipts.mark_closed_in_order()
 
     def withdraw_requests(self) -> None:
         """The client may be gone: withdraw the open requests and refuse them, in case it still reads."""
@@ -309,7 +309,7 @@
         self.answer_unserved()
         self.half_closed = True
         self.withdraw_requests()
-        if self.receipts.doubtful:
+        if self.receipts.unconfirmed:
             self.loop.call_later(SLACK_S, self.finish_input)
             return True
         self.finish_input()
@@ -340,11 +340,11 @@
         """Whether no request is open, as far as input was read."""
         return self.ignores_input or not (self.slots or self.size or self.resting or self.serving)
 
-    def close_when_idle(self, why: CloseReason = CloseReason.LEAVING) -> bool:
+    def close_when_idle(self, reason: CloseReason = CloseReason.SHUTDOWN) -> bool:
         """Close at once if no request is open or unread, else when the open ones are answered. Returns
         whether the connection is closed."""
         if not self.draining:
-            self.draining, self.close_reason = True, why
+            self.draining, self.close_reason = True, reason
         if self.transport is not None and not self.transport.is_closing() and not self.has_unread_input():
             self.close_if_idle()
         return self.transport is None or self.transport.is_closing()
@@ -354,19 +354,19 @@
         whether the connection is closed."""
         if self.size and not self.ignores_input:
             if not self.has_unread_input():
-                self.refuse("too many clients are connected", ErrorReason.CROWD)
+                self.refuse("too many clients are connected", ErrorReason.TOO_MANY_CLIENTS)
         else:
             self.close_when_idle(CloseReason.MADE_ROOM)
             if self.transport is not None and self.transport.is_closing():
                 if self.transport.get_write_buffer_size():
-                    self.close(CloseReason.STUCK, abort=True)  # else it keeps its file descriptor
+                    self.close(CloseReason.NOT_READING, abort=True)  # else it keeps its file descriptor
         return self.transport is None or self.transport.is_closing()
 
     def close_if_idle(self) -> None:
         if not self.slots and self.is_idle():
             self.close(self.close_reason)
 
-    def close(self, why: CloseReason, abort: bool = False) -> None:
+    def close(self, reason: CloseReason, abort: bool = False) -> None:
         """Close the connection; no other code closes its transport. With `abort`, unsent answers are
         discarded. Callers must have answered every request before."""
         if self.transport is None:
@@ -375,12 +375,12 @@
             self.server.closed["with_requests"] += 1
             log.error(
                 "client connection closed with unanswered requests; refusing them",
-                extra={"reason": why.value},
+                extra={"reason": reason.value},
             )
             self.withdraw_requests()
         if not self.transport.is_closing():
-            self.server.closed[why.value] += 1
-            log.debug("client connection closed", extra={"reason": why.value})
+            self.server.closed[reason.value] += 1
+            log.debug("client connection closed", extra={"reason": reason.value})
         if abort:
             self.write_failed = True
             self.transport.abort()
@@ -395,8 +395,8 @@
         self.answer_unserved()
         self.withdraw_requests()
         if self.size and not self.ignores_input and self.is_open():
-            self.refuse("the process ends", ErrorReason.LEAVING)
-        self.close(CloseReason.LEAVING)
+            self.refuse("the process ends", ErrorReason.SHUTDOWN)
+        self.close(CloseReason.SHUTDOWN)
 
     def transferable_input(self) -> bytes | None:
         """The bytes read of a partial request, with which another process continues; None while the
@@ -406,7 +406,7 @@
     def resume(self, adopted: TransferredConnection) -> None:
         """Continue where the process that handed the connection over stopped reading."""
         self.asked = adopted.asked
-        for handle in adopted.doubtful:
+        for handle in adopted.unconfirmed:
             self.receipts.accepted(handle, self.loop.time())
             self.acceptor.set_client_check(handle, self.check_client)
         self.schedule_receipt_check()
@@ -423,12 +423,12 @@
         if self.transport.is_closing() or self.ignores_input:
             unanswered = any(not slot.answer for slot in self.slots)
             if now - self.heard_at >= admission.SILENT_S and not unanswered:
-                self.close(CloseReason.STUCK, abort=True)
+                self.close(CloseReason.NOT_READING, abort=True)
         elif activity.overdue(now):
             if self.has_unread_input():
                 return
             text = "the rest of the request did not come" if self.size else "no request came that makes sense"
-            self.refuse(text, ErrorReason.LATE)
+            self.refuse(text, ErrorReason.TIMED_OUT)
         elif activity.idle(now) and not self.has_unread_input():
             self.close_when_idle(CloseReason.IDLE)
 
--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -41,7 +41,12 @@
 
 STATUS = {"taken": 202, "delivered": 200, "failed": 502, "refused": 503}
 STATUS |= {"acknowledged": 200, "unknown": 404, "differs": 409, "late": 410}
-ERROR_STATUS = {ErrorReason.BAD: 400, ErrorReason.LATE: 408, ErrorReason.CROWD: 503, ErrorReason.LEAVING: 503}
+ERROR_STATUS = {
+    ErrorReason.MALFORMED: 400,
+    ErrorReason.TIMED_OUT: 408,
+    ErrorReason.TOO_MANY_CLIENTS: 503,
+    ErrorReason.SHUTDOWN: 503,
+}
 DETAIL = {
     "failed": "the event was not delivered, or may have been: to send it again as a new event may repeat it",
     "refused": "the event was not taken on, or never left: to send it again does no harm",
@@ -274,8 +279,8 @@
             elif isinstance(event, h11.Data):
                 self.body += event.data
                 if len(self.body) > MOST_BATCH:
-                    what = f"a body of more than {MOST_BATCH} bytes: send several"
-                    self.reject(EventResult.problem(413, what))
+                    detail = f"a body of more than {MOST_BATCH} bytes: send several"
+                    self.reject(EventResult.problem(413, detail))
                     return
             elif isinstance(event, h11.EndOfMessage):
                 self.take_request()
@@ -357,7 +362,7 @@
         """Read no further request; close once the answer is sent."""
         self.ignores_input = True
         self.update_reading()
-        self.close(CloseReason.LEAVING if self.draining else CloseReason.ENDED)
+        self.close(CloseReason.SHUTDOWN if self.draining else CloseReason.ENDED)
 
     def reject(self, result: EventResult) -> None:
         """Answer a request that was not read to its end, and close, since its remaining bytes are unknown."""
@@ -403,7 +408,7 @@
             self.http.send(h11.Data(data=body)),
             self.http.send(h11.EndOfMessage()),
         )
-        return b"".join(part for part in parts if part)
+        return b"".join(chunk for chunk in parts if chunk)
 
     def write(self, data: bytes | None) -> None:
         if data and self.transport is not None and not self.transport.is_closing():
--- a/rushhitch/fronts/listener.py
+++ b/rushhitch/fronts/listener.py
@@ -42,9 +42,13 @@
     """The listeners of all fronts and their connections, within limits that they share."""
 
     def __init__(
-        self, acceptor: Acceptor, most: int, max_incomplete_bytes: int = 100 * MAX_REQUEST_BYTES
+        self, acceptor: Acceptor, max_connections: int, max_incomplete_bytes: int = 100 * MAX_REQUEST_BYTES
     ) -> None:
-        self.acceptor, self.most, self.max_incomplete_bytes = acceptor, most, max_incomplete_bytes
+        self.acceptor, self.max_connections, self.max_incomplete_bytes = (
+            acceptor,
+            max_connections,
+            max_incomplete_bytes,
+        )
         self.incomplete_bytes = 0  # of requests received in part, held in memory
         self.loop = asyncio.get_running_loop()
         self.closed: Counter[str] = Counter()  # connections closed by this side, by `CloseReason`
@@ -162,8 +166,8 @@
             self.clients[client] = None
 
     def make_room(self) -> bool:
-        """Whether there is room for one more connection, evicting one if there are `most`."""
-        return len(self.clients) + len(self.connecting) < self.most or self.evict_one()
+        """Whether there is room for one more connection, evicting one if there are `max_connections`."""
+        return len(self.clients) + len(self.connecting) < self.max_connections or self.evict_one()
 
     def evict_one(self) -> bool:
         """Evict one client; returns False if none may be evicted."""
--- a/rushhitch/fronts/receipts.py
+++ b/rushhitch/fronts/receipts.py
@@ -11,10 +11,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-CLIENT_WAITS_S = 0.4  # protocol: a client waits so long for its answer, then closes the connection
+CLIENT_WAITS_S = 0.4  # protocol: then a client without its answer closes the connection
 SLACK_S = 0.05  # protocol: added to each time limit on sockets
-DOUBT_S = CLIENT_WAITS_S + SLACK_S  # a reset within it may have discarded an answer acknowledged but not read
-BLIND_DOUBT_S = 0.01  # the same without acknowledgement counts: clients that have read also reset
+# A reset within this time may have discarded an answer that was acknowledged but not read.
+RECEIPT_DOUBT_S = CLIENT_WAITS_S + SLACK_S
+MIN_RECEIPT_DOUBT_S = 0.01  # the same without acknowledgement counts: clients that have read also reset
 
 
 class Ending(Enum):
@@ -38,56 +39,57 @@
 
     def __init__(self) -> None:
         self.written = 0  # answer bytes taken by the kernel
-        self.doubtful: deque[Acceptance] = deque()
+        self.unconfirmed: deque[Acceptance] = deque()
 
     def wrote(self, size: int) -> None:
         self.written += size
 
     def accepted(self, handle: int, now: float) -> None:
         """The bytes just written accepted the message of `handle`; `now` is event loop time in seconds."""
-        self.doubtful.append(Acceptance(handle, now, self.written))
+        self.unconfirmed.append(Acceptance(handle, now, self.written))
 
     def handles(self) -> list[int]:
         """Handles of the messages whose acceptances are in doubt."""
-        return [acceptance.handle for acceptance in self.doubtful]
+        return [acceptance.handle for acceptance in self.unconfirmed]
 
     def overdue(self, unacknowledged: int | None, now: float) -> list[int]:
-        """Remove and return the handles that the client's TCP stack has left unacknowledged for `DOUBT_S`,
-        after which the client has given up waiting. `unacknowledged` is in bytes, None if unknown."""
+        """Remove and return the handles that the client's TCP stack has left unacknowledged for
+        `RECEIPT_DOUBT_S`, when it has given up waiting. `unacknowledged` is in bytes, None if unknown."""
         late = [
             acceptance
-            for acceptance in self.doubtful
-            if now >= acceptance.answered_at + DOUBT_S and self.is_unconfirmed(acceptance, unacknowledged)
+            for acceptance in self.unconfirmed
+            if now >= acceptance.answered_at + RECEIPT_DOUBT_S
+            and self.is_unconfirmed(acceptance, unacknowledged)
         ]
-        self.doubtful = deque(acceptance for acceptance in self.doubtful if acceptance not in late)
+        self.unconfirmed = deque(acceptance for acceptance in self.unconfirmed if acceptance not in late)
         return [acceptance.handle for acceptance in late]
 
-    def still_there(self, unacknowledged: int | None, now: float) -> float | None:
+    def confirm_older(self, unacknowledged: int | None, now: float) -> float | None:
         """The client is still connected: older answers that are not `overdue` count as received. Returns the
         time of the next check, None if nothing is in doubt. `unacknowledged` is in bytes, None if unknown."""
-        doubt_s = BLIND_DOUBT_S if unacknowledged is None else DOUBT_S
-        while self.doubtful and now >= self.doubtful[0].answered_at + doubt_s:
-            self.doubtful.popleft()
-        if not self.doubtful:
+        doubt_s = MIN_RECEIPT_DOUBT_S if unacknowledged is None else RECEIPT_DOUBT_S
+        while self.unconfirmed and now >= self.unconfirmed[0].answered_at + doubt_s:
+            self.unconfirmed.popleft()
+        if not self.unconfirmed:
             return None
-        return max(self.doubtful[0].answered_at + doubt_s, now + BLIND_DOUBT_S)
+        return max(self.unconfirmed[0].answered_at + doubt_s, now + MIN_RECEIPT_DOUBT_S)
 
-    def unheard(self, ending: Ending, unacknowledged: int | None) -> list[int]:
+    def take_unconfirmed(self, ending: Ending, unacknowledged: int | None) -> list[int]:
         """Remove and return the handles whose acceptance may not have been received, given how the connection
         ended. `unacknowledged` is in bytes; if it is None, `ending` alone decides."""
-        found, rest = [], deque()
-        for acceptance in self.doubtful:
+        unconfirmed, remaining = [], deque()
+        for acceptance in self.unconfirmed:
             if ending is Ending.RESET or self.is_unconfirmed(acceptance, unacknowledged):
-                found.append(acceptance.handle)
+                unconfirmed.append(acceptance.handle)
             else:
-                rest.append(acceptance)
-        self.doubtful = rest
-        return found
+                remaining.append(acceptance)
+        self.unconfirmed = remaining
+        return unconfirmed
 
-    def left(self) -> None:
+    def mark_closed_in_order(self) -> None:
         """The client closed in order, so it had read what was acknowledged; a later reset is its reaction to
         later writes."""
-        self.doubtful.clear()
+        self.unconfirmed.clear()
 
     def is_unconfirmed(self, acceptance: Acceptance, unacknowledged: int | None) -> bool:
         return unacknowledged is not None and acceptance.end > self.written - unacknowledged
--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -45,7 +45,7 @@
     return int(text)
 
 
-def parse_offer(words: list[bytes]) -> Submission:
+def parse_submission(words: list[bytes]) -> Submission:
     """Parse the words of an OUT.ADD. Raises `BadRequest` with a text for the client."""
     if len(words) != 5:
         raise BadRequest(f"OUT.ADD takes key, id, fields and body, not {len(words) - 1} words")
@@ -135,7 +135,7 @@
         self.tail = bytearray()  # the request received in part
 
     def error(self, text: str, fault: ErrorReason) -> bytes:
-        return self.refusal() if fault is ErrorReason.LEAVING else error_line(text)
+        return self.refusal() if fault is ErrorReason.SHUTDOWN else error_line(text)
 
     def refusal(self) -> bytes:
         return answer_line(REFUSED)
@@ -177,7 +177,7 @@
             self.pause(rest_s)
             return
         if self.framing.error and not self.ignores_input:
-            self.refuse(self.framing.error, ErrorReason.BAD)
+            self.refuse(self.framing.error, ErrorReason.MALFORMED)
         self.update_reading()
         if self.draining:
             self.close_if_idle()
@@ -237,7 +237,7 @@
                 self.reply(slot, PONG)
             elif command == b"OUT.ADD":
                 handle = self.acceptor.offer(
-                    parse_offer(words),
+                    parse_submission(words),
                     lambda reply: self.answer(slot, reply),
                     reachable=lambda: self.reachable(slot),
                     check_client=self.check_client,
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -13,7 +13,7 @@
 from rushhitch.fronts import admission
 from rushhitch.fronts import resp2 as clients
 from rushhitch.fronts.listener import ConnectionManager
-from rushhitch.fronts.resp2 import Resp2Connection, parse_offer
+from rushhitch.fronts.resp2 import Resp2Connection, parse_submission
 
 
 class Acceptor:
@@ -57,21 +57,21 @@
 
 
 def test_an_offer_is_read_as_it_was_sent():
-    offer = parse_offer(list(ADD))
+    offer = parse_submission(list(ADD))
     assert (offer.id, offer.cls, offer.destination, offer.left_ms) == (b"m1", "note", 7, 8000.0)
     assert (offer.body, offer.key, offer.again) == (b"body", 0, True)
     assert (offer.tenant, offer.idempotency) == ("", b"")
 
 
 def test_the_tenant_and_the_key_of_repeats_are_read():
-    offer = parse_offer([*ADD[:3], b"c=note,t=comune,d=8000,k=f59ace57a939f76f,dest=7", b"body"])
+    offer = parse_submission([*ADD[:3], b"c=note,t=comune,d=8000,k=f59ace57a939f76f,dest=7", b"body"])
     assert (offer.tenant, offer.idempotency) == ("comune", b"f59ace57a939f76f")
 
 
 @pytest.mark.parametrize("key", [b"a b", b"a\r\nX-Other: 1", b"\xff", b"x" * 129])
 def test_a_key_of_repeats_that_would_break_the_request_to_its_endpoint_is_refused(key):
     with pytest.raises(BadRequest, match="k must be"):
-        parse_offer([*ADD[:3], b"c=note,d=8000,dest=7,k=" + key, b"body"])
+        parse_submission([*ADD[:3], b"c=note,d=8000,dest=7,k=" + key, b"body"])
 
 
 def test_answers_go_out_in_the_order_of_the_requests():
@@ -188,7 +188,7 @@
 @settings(derandomize=True, deadline=None)
 def test_any_words_are_an_offer_or_a_bad_request(words):
     try:
-        offer = parse_offer(words)
+        offer = parse_submission(words)
     except BadRequest as error:
         assert str(error)
     else:
