--- a/tests/directories.py
+++ b/tests/directories.py
@@ -1,5 +1,5 @@
-"""A fleet's watches on virtual time, without sockets: the real `Watch` of each dispatcher, and one directory
-that works through their calls in turn, is down for a while, refuses, lets wait and answers late."""
+"""Simulation on virtual time, without sockets: the real `Watch` of each dispatcher of a fleet, and one
+discovery service that serves calls one at a time, has outages, refuses and answers late."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from rushhitch import discovery
 from rushhitch.discovery import Watch
 
-LIST = h11.Data(data=json.dumps({"version": 1, "full": True, "servers": []}).encode() + b"\n")
-EMPTY = h11.Data(data=b"\n")
-EMPTY_S = 2.0  # while nothing changes, a watch gets an empty line so often
-TRIP_S = 0.002  # there and back
-PLENTY = 1e6  # calls a second
+LIST_LINE = h11.Data(data=json.dumps({"version": 1, "full": True, "servers": []}).encode() + b"\n")
+EMPTY_LINE = h11.Data(data=b"\n")
+EMPTY_LINE_S = 2.0  # between empty lines on a watch without changes
+ROUND_TRIP_S = 0.002  # round trip
+UNLIMITED_PER_S = 1e6  # calls per second: no limit in effect
 
 
-class Jumping(selectors.SelectSelector):
-    """Never waits: the clock moves on to the next timer."""
+class VirtualTimeSelector(selectors.SelectSelector):
+    """Never waits: advances the clock to the next timer."""
 
     now = 0.0
 
@@ -34,8 +34,8 @@
         return []
 
 
-def on_virtual_time(work: Callable[[], object]) -> None:
-    selector = Jumping()
+def run_on_virtual_time(work: Callable[[], object]) -> None:
+    selector = VirtualTimeSelector()
     loop = asyncio.SelectorEventLoop(selector)
     loop.time = lambda: selector.now
     try:
@@ -44,36 +44,37 @@
         loop.close()
 
 
-class Directory:
-    """Serves `per_s` calls a second in turn from `back_at` on, and any number before. One that waits longer
-    than `patience_s` is refused, and has cost its time. Half of the answers are late, by up to `late_s`.
+class SimulatedDiscovery:
+    """A discovery service. From `back_at` on it serves `per_s` calls per second, one after another; before,
+    any number. A call that would wait longer than `patience_s` is refused after that time, and still costs as
+    much as an answer. Half of the answers are late, by up to `late_s`.
 
-    From `down_at` to `back_at` it is down, and watches end: calls are answered 503 (`way` "503"), or only
-    after its patience ("slow"), or never ("lost"), their connections are refused ("refused"), or nothing is
-    heard at all ("cut"). From `silent_at` on the watches that are open say nothing. The first call of each
-    dispatcher that comes after `refuse_from` takes its turn, and is refused.
+    From `down_at` to `back_at` it is down, and open watches end. By `outage`, calls are answered 503 ("503"),
+    the same after `patience_s` ("slow"), or never ("lost"), connections are refused ("refused"), or nothing
+    arrives ("cut"). From `silent_at` on open watches send nothing. The first call of each dispatcher after
+    `refuse_from` is served and refused.
     """
 
     def __init__(
         self,
         seed: int,
-        per_s: float = PLENTY,
+        per_s: float = UNLIMITED_PER_S,
         patience_s: float = 2.0,
         late_s: float = 0.0,
         down_at: float = float("inf"),
         back_at: float = 0.0,
-        way: str = "503",
+        outage: str = "503",
         silent_at: float = float("inf"),
         refuse_from: float = float("inf"),
     ) -> None:
         self.per_s, self.patience_s, self.late_s = per_s, patience_s, late_s
-        self.down_at, self.back_at, self.way = down_at, back_at, way
+        self.down_at, self.back_at, self.outage = down_at, back_at, outage
         self.silent_at, self.refuse_from = silent_at, refuse_from
         self.chance = random.Random(seed)
-        self.always_s = 0.0  # each answer comes so long after its turn
+        self.always_s = 0.0  # delay added to each answer
         self.free_at = 0.0
         self.refused: set[int] = set()
-        self.asked: list[float] = []  # each call's moment
+        self.call_times: list[float] = []  # time of each call
 
     @property
     def now(self) -> float:
@@ -84,30 +85,30 @@
         return self.down_at <= self.now < self.back_at
 
     async def wait_until(self, at: float) -> None:
-        """Unless it goes down meanwhile: connections are reset, at once or, after a cut, at the return."""
+        """Sleep until `at`. An outage before it resets the connection, after a cut only at its end."""
         now = self.now
         if now < self.down_at <= at and self.back_at > self.down_at:
-            await asyncio.sleep((self.back_at if self.way == "cut" else self.down_at) - now)
+            await asyncio.sleep((self.back_at if self.outage == "cut" else self.down_at) - now)
             raise ConnectionResetError("discovery went down")
         await asyncio.sleep(at - now)
 
     async def connect(self) -> None:
-        self.asked.append(self.now)
-        if self.down and self.way == "cut":
+        self.call_times.append(self.now)
+        if self.down and self.outage == "cut":
             await asyncio.sleep(self.back_at - self.now)
             raise ConnectionResetError("the machine is back")
-        await asyncio.sleep(TRIP_S)
-        if self.down and self.way == "refused":
+        await asyncio.sleep(ROUND_TRIP_S)
+        if self.down and self.outage == "refused":
             raise ConnectionRefusedError("nobody listens")
 
     async def answer(self, number: int) -> int:
         now = self.now
-        if self.down and self.way == "lost":
+        if self.down and self.outage == "lost":
             await asyncio.sleep(3600.0)
         if self.down:
-            await asyncio.sleep(self.patience_s if self.way == "slow" else TRIP_S)
+            await asyncio.sleep(self.patience_s if self.outage == "slow" else ROUND_TRIP_S)
             return 503
-        call_s = 1.0 / (self.per_s if now >= self.back_at else PLENTY)
+        call_s = 1.0 / (self.per_s if now >= self.back_at else UNLIMITED_PER_S)
         begins = max(self.free_at, now)
         if begins - now > self.patience_s:
             self.free_at += call_s
@@ -122,72 +123,76 @@
         return 503 if refuses else 200
 
     def busiest(self, from_s: float, to_s: float, window_s: float = 1.0) -> int:
-        """The most calls in any second of that time."""
-        asked = [at for at in self.asked if from_s <= at < to_s]
-        return max((bisect_right(asked, at + window_s) - i for i, at in enumerate(asked)), default=0)
+        """The largest number of calls in any window of `window_s` that begins in the given time."""
+        call_times = [at for at in self.call_times if from_s <= at < to_s]
+        return max(
+            (bisect_right(call_times, at + window_s) - i for i, at in enumerate(call_times)), default=0
+        )
 
 
-class Line:
-    """Stands in for `Connection`; its address is the directory and the dispatcher's number."""
+class SimulatedConnection:
+    """Replaces `Connection`; its address is the `SimulatedDiscovery` and the number of the dispatcher."""
 
-    def __init__(self, directory: Directory, number: int) -> None:
-        self.directory, self.number = directory, number
-        self.heard_at = -1.0
+    def __init__(self, discovery_service: SimulatedDiscovery, number: int) -> None:
+        self.discovery_service, self.number = discovery_service, number
+        self.last_line_at = -1.0
 
     @classmethod
     async def open(cls, address):
-        line = cls(*address)
-        await line.directory.connect()
-        return line
+        connection = cls(*address)
+        await connection.discovery_service.connect()
+        return connection
 
     async def send(self, method, target, headers):
         pass
 
     async def response(self):
-        return SimpleNamespace(status_code=await self.directory.answer(self.number))
+        return SimpleNamespace(status_code=await self.discovery_service.answer(self.number))
 
     async def event(self):
-        directory = self.directory
-        if self.heard_at < 0.0:
-            self.heard_at = self.opened_at = directory.now
-            return LIST
-        due = self.heard_at + EMPTY_S
-        if self.opened_at < directory.silent_at <= due:
+        discovery_service = self.discovery_service
+        if self.last_line_at < 0.0:
+            self.last_line_at = self.opened_at = discovery_service.now
+            return LIST_LINE
+        due = self.last_line_at + EMPTY_LINE_S
+        if self.opened_at < discovery_service.silent_at <= due:
             due = float("inf")
-        await directory.wait_until(min(due, 1e6))
-        self.heard_at = directory.now
-        return EMPTY
+        await discovery_service.wait_until(min(due, 1e6))
+        self.last_line_at = discovery_service.now
+        return EMPTY_LINE
 
     def close(self):
         pass
 
 
-class Watches:
-    """As many dispatchers as the settings tell, with their watches on one directory."""
+class WatchFleet:
+    """The watches of a fleet of dispatchers on one `SimulatedDiscovery`."""
 
-    def __init__(self, directory: Directory, dispatchers: int, seed: int) -> None:
-        self.directory, self.dispatchers, self.seed = directory, dispatchers, seed
-        self.heard: list[list[float]] = [[] for _ in range(dispatchers)]  # when each had a list
-        self.moved_at = float("inf")  # all at once to another address of the same directory
+    def __init__(self, discovery_service: SimulatedDiscovery, dispatchers: int, seed: int) -> None:
+        self.discovery_service, self.dispatchers, self.seed = discovery_service, dispatchers, seed
+        self.times: list[list[float]] = [[] for _ in range(dispatchers)]  # when each received the list
+        self.address_changed_at = float("inf")  # all change their address at once (to the same service)
 
-    def run(self, monkeypatch, seconds: float) -> Watches:
-        monkeypatch.setattr(discovery, "Connection", Line)
-        on_virtual_time(lambda: self.work(seconds))
+    def run(self, monkeypatch, seconds: float) -> WatchFleet:
+        monkeypatch.setattr(discovery, "Connection", SimulatedConnection)
+        run_on_virtual_time(lambda: self.work(seconds))
         return self
 
     async def work(self, seconds: float) -> None:
         loop = asyncio.get_running_loop()
         watches = []
-        for number, heard in enumerate(self.heard):
+        for number, times in enumerate(self.times):
             chance = random.Random(1_000_003 * self.seed + number)
 
-            def told(news, heard=heard):
-                heard.append(loop.time())
+            def on_update(update, times=times):
+                times.append(loop.time())
 
-            watches.append(Watch((self.directory, number), 1, told, chance, dispatchers=self.dispatchers))
+            watches.append(
+                Watch((self.discovery_service, number), 1, on_update, chance, dispatchers=self.dispatchers)
+            )
         tasks = [loop.create_task(watch.run()) for watch in watches]
-        if self.moved_at < seconds:
-            await asyncio.sleep(self.moved_at)
+        if self.address_changed_at < seconds:
+            await asyncio.sleep(self.address_changed_at)
             await self.stop(tasks)
             for watch in watches:
                 watch.move(watch.address)
@@ -202,6 +207,6 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def latest(self, since: float) -> float:
-        """How long after `since` the last of them had the list."""
-        first = (next((at for at in heard if at > since), float("inf")) for heard in self.heard)
+        """Seconds from `since` until the last of them received the list."""
+        first = (next((at for at in times if at > since), float("inf")) for times in self.times)
         return max(first) - since
