--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch and the notices over loopback."""
+"""The watch and the notice sender over loopback."""
 
 import asyncio
 import json
@@ -14,10 +14,10 @@
 def with_watch(silence_s=30.0):
     def decorate(test):
         async def work():
-            platform, told = await Peer().start(), asyncio.Queue()
-            watch = Watch(platform.address, 41, told.put_nowait, random.Random(1), silence_s)
+            platform, updates = await Peer().start(), asyncio.Queue()
+            watch = Watch(platform.address, 41, updates.put_nowait, random.Random(1), silence_s)
             task = asyncio.create_task(watch.run())
-            await test(platform, told)
+            await test(platform, updates)
             task.cancel()
 
         run(work())
@@ -25,31 +25,31 @@
     return decorate
 
 
-def news(version):
+def update(version):
     return {"version": version, "full": False, "servers": []}
 
 
-def test_a_watch_hands_on_what_changes():
+def test_a_watch_passes_on_updates():
     @with_watch()
-    async def _(platform, told):
+    async def _(platform, updates):
         request = await platform.next()
         assert request.target == "/discovery/hosts?watch=1&from=41"
         request.start_watch()
         request.chunk("")
-        text = json.dumps(news(42))
-        request.writer.write(b"%x\r\n%s\r\n" % (len(text[:10]), text[:10].encode()))  # a line in two chunks
+        text = json.dumps(update(42))
+        request.writer.write(b"%x\r\n%s\r\n" % (len(text[:10]), text[:10].encode()))  # one line in two chunks
         request.chunk(text[10:])
-        assert await told.get() == news(42)
+        assert await updates.get() == update(42)
 
 
-def test_a_silent_watch_is_dead_and_is_opened_again_from_the_last_version():
-    # Guards against a machine that vanished: its connection stays open and says nothing.
+def test_a_silent_watch_is_reopened_from_the_last_version():
+    # The machine has vanished: its connection stays open without any data.
     @with_watch(silence_s=0.3)
-    async def _(platform, told):
+    async def _(platform, updates):
         request = await platform.next()
         request.start_watch()
-        request.chunk(json.dumps(news(50)))
-        assert await told.get() == news(50)
+        request.chunk(json.dumps(update(50)))
+        assert await updates.get() == update(50)
         assert (await platform.next()).target.endswith("from=50")
         assert await request.ended()
 
@@ -58,37 +58,37 @@
 @pytest.mark.parametrize("step", [1, 7, 1000])
 def test_lists_are_read_however_they_are_indented_and_cut_up(indent, step):
     row = {"id": 's-"}{\\', "addr": "[1]\n", "more": [{"a": {}}, "\\"]}
-    told = [{"version": version, "full": False, "servers": [row] * version} for version in range(3)]
-    data = b"\n" + b"\n".join(json.dumps(one, indent=indent).encode() + b"\n" for one in told)
-    words, found = discovery.JsonFramer(), []
+    updates = [{"version": version, "full": False, "servers": [row] * version} for version in range(3)]
+    data = b"\n" + b"\n".join(json.dumps(one, indent=indent).encode() + b"\n" for one in updates)
+    framer, found = discovery.JsonFramer(), []
     for at in range(0, len(data), step):
-        found += words.feed(data[at : at + step])
-    assert [json.loads(word) for word in found if word] == told and b"" in found
-    assert not words.buffer
+        found += framer.feed(data[at : at + step])
+    assert [json.loads(word) for word in found if word] == updates and b"" in found
+    assert not framer.buffer
 
 
 @pytest.mark.parametrize("data", [b"x", b"}\n", b"[1]\n", b'"a"\n', b'{"a":1}}\n', b"7\n"])
-def test_what_is_no_object_is_refused(data):
+def test_input_that_is_no_object_is_rejected(data):
     with pytest.raises(ValueError, match="no object"):
         discovery.JsonFramer().feed(data)
 
 
-def test_an_indented_list_is_told_from_a_watch():
+def test_an_indented_list_is_read_from_a_watch():
     @with_watch()
-    async def _(platform, told):
+    async def _(platform, updates):
         request = await platform.next()
         request.start_watch()
-        request.chunk(json.dumps(news(42), indent=2))
-        assert await told.get() == news(42)
+        request.chunk(json.dumps(update(42), indent=2))
+        assert await updates.get() == update(42)
 
 
-def test_a_watch_that_trickles_half_an_object_is_dead_and_is_opened_again():
-    # Guards against a silence that looks like life: nothing whole comes any more, byte after byte.
+def test_a_watch_that_trickles_a_partial_object_is_reopened():
+    # Bytes of an item that never completes are no sign of life.
     @with_watch(silence_s=0.3)
-    async def _(platform, told):
+    async def _(platform, updates):
         request = await platform.next()
         request.start_watch()
-        request.chunk(json.dumps(news(50)))
+        request.chunk(json.dumps(update(50)))
 
         async def trickle():
             request.chunk('{"version":51,"note":"')
@@ -103,19 +103,19 @@
 
 
 @pytest.mark.parametrize("dispatchers", [1, 5, 200, 5000])
-def test_what_a_silent_watch_misses_is_asked_for_before_it_counts_as_told(dispatchers):
-    # A watch says its last word up to 2 s before its silence can begin to count; 1 s is left for the answer.
-    asks = discovery.ReconnectSchedule(random.Random(1), dispatchers)
-    latest = max(asks.delay_after_silence() for _ in range(1000))
+def test_an_update_missed_by_a_silent_watch_is_requested_before_its_deadline(dispatchers):
+    # The last item may be up to 2 s old when an update is missed; 1 s is left for the answer.
+    schedule = discovery.ReconnectSchedule(random.Random(1), dispatchers)
+    latest = max(schedule.delay_after_silence() for _ in range(1000))
     assert discovery.SILENCE_S + latest + 1.0 <= 6.0
-    assert discovery.SILENCE_S > 2.0 + 1.0, "one late word is no silence"
+    assert discovery.SILENCE_S > 2.0 + 1.0, "one late item is no silence"
     if dispatchers >= 200:
-        assert latest > 1.0, "all ask in step"
+        assert latest > 1.0, "calls are not spread"
 
 
-def test_a_watch_that_fails_or_ends_or_talks_nonsense_is_opened_again():
+def test_a_watch_that_fails_or_ends_or_sends_malformed_data_is_reopened():
     @with_watch()
-    async def _(platform, told):
+    async def _(platform, updates):
         (await platform.next()).answer(503)
         (await platform.next()).reset()
         ended = await platform.next()
@@ -132,24 +132,24 @@
         empty.chunk('{"version":43,"full":true}')
         request = await platform.next()
         request.start_watch()
-        request.chunk(json.dumps(news(44)))
-        assert await told.get() == news(44)
+        request.chunk(json.dumps(update(44)))
+        assert await updates.get() == update(44)
 
 
-def test_a_call_with_no_answer_goes_on_beside_the_next_and_the_first_answer_is_heard(monkeypatch):
-    # Guards against giving up what is about to come: it would be told, and nobody would hear it.
+def test_a_call_without_answer_stays_open_beside_the_next_and_the_first_answer_is_used(monkeypatch):
+    # If the call were cancelled, an answer in transit would be lost.
     monkeypatch.setattr(discovery, "PERIOD_S", 0.2)
 
     @with_watch()
-    async def _(platform, told):
+    async def _(platform, updates):
         first, second = await platform.next(), await platform.next()
         assert (first.connection, second.connection) == (1, 2)
         first.start_watch()
-        first.chunk(json.dumps(news(42)))
-        assert await told.get() == news(42)
+        first.chunk(json.dumps(update(42)))
+        assert await updates.get() == update(42)
         assert await second.ended()
-        first.chunk(json.dumps(news(43)))
-        assert await told.get() == news(43)
+        first.chunk(json.dumps(update(43)))
+        assert await updates.get() == update(43)
 
 
 def test_a_watch_that_is_stopped_closes_all_its_calls(monkeypatch):
@@ -158,7 +158,7 @@
 
     async def work():
         platform = await Peer().start()
-        watch = Watch(platform.address, 41, lambda news: None, random.Random(1))
+        watch = Watch(platform.address, 41, lambda update: None, random.Random(1))
         task = asyncio.create_task(watch.run())
         first, second = await platform.next(), await platform.next()
         task.cancel()
@@ -169,21 +169,21 @@
 
 def with_notices(test):
     async def work():
-        platform, heard = await Peer().start(), asyncio.Queue()
-        notices = NoticeSender(platform.address, heard.put_nowait)
+        platform, acknowledged = await Peer().start(), asyncio.Queue()
+        notices = NoticeSender(platform.address, acknowledged.put_nowait)
         task = asyncio.create_task(notices.run())
-        await test(platform, notices, heard)
+        await test(platform, notices, acknowledged)
         task.cancel()
 
     run(work())
 
 
-def test_a_notice_is_told_until_its_204(monkeypatch):
-    # Guards against an end that nobody hears: reset, silence and 503 are no answer.
+def test_a_notice_is_sent_until_its_204(monkeypatch):
+    # Reset, silence and 503 acknowledge nothing.
     monkeypatch.setattr(discovery, "NOTICE_S", 1.0)
 
     @with_notices
-    async def _(platform, notices, heard):
+    async def _(platform, notices, acknowledged):
         notices.add(1, b"m1", "bounced", 500.0)
         (await platform.next()).reset()
         silent = await platform.next()
@@ -191,29 +191,29 @@
         assert await silent.ended()
         again.answer(503)
         last = await platform.next()
-        assert heard.empty()
+        assert acknowledged.empty()
         assert json.loads(last.body) == {"ref": "m1", "result": "bounced", "wait_ms": 500}
         last.answer(204)
-        assert await heard.get() == 1
+        assert await acknowledged.get() == 1
         await notices.empty.wait()
 
 
-def test_a_connection_that_idled_is_not_trusted_with_a_notice(monkeypatch):
-    # Guards against one that was dropped unseen: the end would come too late.
+def test_a_connection_that_idled_is_not_reused_for_a_notice(monkeypatch):
+    # It may have been dropped unnoticed, and the notice would be late.
     @with_notices
-    async def _(platform, notices, heard):
+    async def _(platform, notices, acknowledged):
         for connection in (1, 1, 2):
             monkeypatch.setattr(discovery, "NOTICE_IDLE_S", 30.0 if connection == 1 else -1.0)
             notices.add(1, b"m1", "dead", 0.0)
             request = await platform.next()
             assert request.connection == connection
             request.answer(204)
-            await heard.get()
+            await acknowledged.get()
 
 
 def test_notices_that_are_due_together_go_together():
     @with_notices
-    async def _(platform, notices, heard):
+    async def _(platform, notices, acknowledged):
         notices.add(1, b"m1", "dead", 0.0)
         notices.add(2, b"m2", "bounced", 0.0)
         request = await platform.next()
@@ -223,37 +223,37 @@
             {"ref": "m2", "result": "bounced"},
         ]
         request.answer(204)
-        assert [await heard.get(), await heard.get()] == [1, 2]
+        assert [await acknowledged.get(), await acknowledged.get()] == [1, 2]
 
 
-def test_one_notice_that_cannot_be_read_does_not_hold_up_the_others():
+def test_an_unreadable_notice_does_not_block_the_others():
     @with_notices
-    async def _(platform, notices, heard):
+    async def _(platform, notices, acknowledged):
         notices.add(9, b"bad", "dead", 0.0)
         notices.add(2, b"m2", "dead", 0.0)
         (await platform.next()).answer(400)
-        (await platform.next()).answer(400)  # the bad one alone
+        (await platform.next()).answer(400)  # to the bad one, sent alone
         request = await platform.next()
         assert json.loads(request.body)["ref"] == "m2"
         request.answer(204)
-        assert await heard.get() == 2
+        assert await acknowledged.get() == 2
 
 
-def test_a_move_goes_on_at_the_new_address_at_once_and_closes_the_old_connections(monkeypatch):
-    # Guards against waiting out a backoff, or a patience, that the old address has earned.
+def test_a_change_of_address_takes_effect_at_once_and_closes_the_old_connections(monkeypatch):
+    # Back-off and time-outs reached at the old address must not apply to the new one.
     monkeypatch.setattr(discovery, "NOTICE_S", 30.0)
 
     async def work():
         old, new = await Peer().start(), await Peer().start()
-        told, heard = asyncio.Queue(), asyncio.Queue()
-        watch = Watch(old.address, 41, told.put_nowait, random.Random(1))
-        notices = NoticeSender(old.address, heard.put_nowait)
+        updates, acknowledged = asyncio.Queue(), asyncio.Queue()
+        watch = Watch(old.address, 41, updates.put_nowait, random.Random(1))
+        notices = NoticeSender(old.address, acknowledged.put_nowait)
         platform = PlatformClient(watch, notices)
         platform.start()
         request = await old.next()
         request.start_watch()
-        request.chunk(json.dumps(news(42)))
-        await told.get()
+        request.chunk(json.dumps(update(42)))
+        await updates.get()
         notices.add(1, b"m1", "dead", 0.0)
         unanswered = await old.next()
         watch.schedule.failures = 16
@@ -262,7 +262,7 @@
         assert set(requests) == {"/discovery/hosts?watch=1&from=42", "/status"}
         assert json.loads(requests["/status"].body)["ref"] == "m1"
         requests["/status"].answer(204)
-        assert await heard.get() == 1
+        assert await acknowledged.get() == 1
         assert await request.ended() and await unanswered.ended()
         assert watch.schedule.failures == 0
         platform.stop()
