--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Who gives way in a crowd, and how long a request may take to come."""
+"""Eviction order of connections, and request timeouts."""
 
 import asyncio
 import os
@@ -24,7 +24,7 @@
     return ConnectionActivity(NOW - waited, NOW - waited, NOW - still, **told)
 
 
-def test_strangers_go_first_then_those_that_stopped_then_those_that_were_served():
+def test_new_connections_are_evicted_first_then_stalled_ones_then_served_ones():
     crowd = {
         "served": activity(50.0, asked=True),
         "served, just now": activity(0.1, 0.1, asked=True),
@@ -44,21 +44,19 @@
     "told, overdue",
     [
         (activity(1.9), False),
-        (activity(2.1, 2.1), True),  # it has said nothing
-        (activity(2.1, 0.7, size=5), True),  # it stopped
-        (activity(2.4, 0.1, size=5), False),  # it sends in pieces
-        (activity(2.65, 0.1, size=5), True),  # but not for ever
+        (activity(2.1, 2.1), True),  # silent
+        (activity(2.1, 0.7, size=5), True),  # stalled
+        (activity(2.4, 0.1, size=5), False),  # sends in pieces
+        (activity(2.65, 0.1, size=5), True),  # sends in pieces for too long
         (activity(9.0, 0.1, asked=True), False),
         (activity(2.4, 0.1, size=5, asked=True), False),
         (activity(9.0, 9.0, awaiting_answer=True), False),
-        (
-            ConnectionActivity(NOW - 2.75, NOW - 1.0, NOW - 0.1, size=5),
-            True,
-        ),  # a stranger is owed an end by 3 s
+        # A new client must be closed within 3 s.
+        (ConnectionActivity(NOW - 2.75, NOW - 1.0, NOW - 0.1, size=5), True),
         (ConnectionActivity(NOW - 2.75, NOW - 1.0, NOW - 0.1, size=5, asked=True), False),
     ],
 )
-def test_a_request_may_take_as_long_as_it_makes_progress_and_strangers_have_an_end(told, overdue):
+def test_request_time_limits(told, overdue):
     assert told.overdue(NOW) is overdue
 
 
@@ -74,7 +72,7 @@
 
 
 @given(st.lists(activities, max_size=20))
-def test_nobody_with_an_answer_due_and_no_sender_gives_way_and_nobody_twice(crowd):
+def test_connections_with_open_requests_or_sending_are_not_evicted_and_none_twice(crowd):
     found = eviction_order(enumerate(crowd), NOW)
     assert len(set(found)) == len(found)
     for number, told in enumerate(crowd):
@@ -83,8 +81,8 @@
         assert told.awaiting_answer or told.size or number in found
 
 
-def test_a_choice_among_many_serves_for_the_newcomers_of_a_moment(monkeypatch):
-    # Guards against going over all connections for each newcomer: 0.3 ms each with 340 of them.
+def test_one_choice_of_candidates_serves_for_many_new_connections(monkeypatch):
+    # Scanning all connections for each new one would take 0.3 ms each with 340 of them.
     async def work():
         server, choices = ConnectionManager(Acceptor(), 100), []
 
@@ -93,22 +91,20 @@
             return eviction_order(activities, now)
 
         monkeypatch.setattr(listener, "eviction_order", counted)
-        monkeypatch.setattr(
-            listener, "CANDIDATES_VALID_S", 1000.0
-        )  # the moment does not end on a slow machine
+        monkeypatch.setattr(listener, "CANDIDATES_VALID_S", 1000.0)  # does not expire on a slow machine
         server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         served = await connect(server)
         assert await served.ask(b"PING") == b"+PONG\r\n"
         crowd = [await connect(server) for _ in range(400)]
         assert [await client.line() for client in crowd[:290]] == [b""] * 290
         assert len(choices) <= 6
-        assert await served.ask(b"PING") == b"+PONG\r\n", "one that was served gave way to strangers"
+        assert await served.ask(b"PING") == b"+PONG\r\n", "a served client was evicted for new ones"
 
     run(work())
 
 
-def test_a_thousand_who_come_at_once_find_a_place_in_the_queue():
-    # Guards against a short queue: whoever finds none tries again after 1, 2, 4, 8 and 16 s.
+def test_a_thousand_simultaneous_connects_fit_the_accept_queue():
+    # With a short accept queue, dropped connects are retried only after 1, 2, 4, 8 and 16 s.
     most = min(1000, int(Path("/proc/sys/net/core/somaxconn").read_text()) - 1)
 
     async def work():
@@ -133,10 +129,10 @@
     [(40, 0.5, True, 80), (100, 0.02, False, 10_000)],
     ids=["half a message", "ten thousand that say nothing"],
 )
-def test_slow_writers_are_served_beside_a_crowd_that_never_finishes_a_message(
+def test_slow_writers_are_served_beside_many_clients_that_never_finish_a_message(
     wave, rest, halves, least, monkeypatch
 ):
-    monkeypatch.setattr(admission, "STALLED_S", 1.0)  # against a machine that is busy
+    monkeypatch.setattr(admission, "STALLED_S", 1.0)  # for a busy machine
 
     async def work():
         before = descriptors()
@@ -144,23 +140,23 @@
         server = ConnectionManager(acceptor, 64)
         server.listen(("127.0.0.1", 0), "resp2", Resp2Connection)
         over = asyncio.Event()
-        told_off, crowd = 0, []
+        rejected, crowd = 0, []
 
-        async def stranger(number):
-            nonlocal told_off
+        async def new_client(number):
+            nonlocal rejected
             client = await connect(server)
             client.writer.write(b"" if number % 2 or not halves else b"*5\r\n$7\r\nOUT")
             try:
                 said = await client.reader.read()
             except ConnectionError:
                 said = b""
-            told_off += not said.startswith(b"+")
+            rejected += not said.startswith(b"+")
             client.writer.close()
 
         async def flood():
             number = 0
             while not over.is_set() or number < least:
-                crowd.extend(asyncio.ensure_future(stranger(number + n)) for n in range(wave))
+                crowd.extend(asyncio.ensure_future(new_client(number + n)) for n in range(wave))
                 number += wave
                 await asyncio.sleep(rest)
             await asyncio.gather(*crowd)
@@ -170,7 +166,7 @@
             client = await connect(server)
             text = b"*%d\r\n" % len(ADD) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in ADD)
             size = -(-len(text) // 12)
-            for at in range(0, len(text), size):  # piece by piece
+            for at in range(0, len(text), size):  # in pieces
                 client.writer.write(text[at : at + size])
                 await asyncio.sleep(0.05)
             line = await client.line()
@@ -183,18 +179,18 @@
                 answer(ACCEPTED)
 
         flooding, taking = asyncio.ensure_future(flood()), asyncio.ensure_future(take())
-        await asyncio.sleep(1.2)  # the table is full of strangers
+        await asyncio.sleep(1.2)  # all connections are taken by new clients
         lines = await asyncio.gather(*(writer() for _ in range(6)))
         over.set()
         number = await flooding
         taking.cancel()
-        assert lines == [b"+OK\r\n"] * 6, "a true client was closed, or shut out"
-        assert number >= least and told_off == number
+        assert lines == [b"+OK\r\n"] * 6, "a slow but valid client was closed or rejected"
+        assert number >= least and rejected == number
         server.stop_listening()
         while server.clients:
             server.drain()
             await asyncio.sleep(0.05)
         await asyncio.sleep(0.1)
-        assert descriptors() <= before + 4, "descriptors were not given back"
+        assert descriptors() <= before + 4, "file descriptors leaked"
 
     run(work())
