--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -11,13 +11,13 @@
 
 from rushhitch.acceptor import ACCEPTED, MAX_BODY_BYTES, BadRequest, Reply
 from rushhitch.fronts import admission
-from rushhitch.fronts import resp2 as clients
+from rushhitch.fronts import resp2 as resp2_front
 from rushhitch.fronts.listener import ConnectionManager
 from rushhitch.fronts.resp2 import Resp2Connection, parse_submission
 
 
 class Acceptor:
-    """Takes every offer and leaves its answer to the test."""
+    """Takes every submission and leaves its answer to the test."""
 
     def __init__(self):
         self.offers = asyncio.Queue()
@@ -89,8 +89,9 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "shut"])
-def test_an_acceptance_whose_client_left_right_behind_the_core_s_look_is_none(how):
-    # `+OK` went to the transport's buffer, the message counted as accepted, and no loss took it back.
+def test_an_acceptance_fails_if_its_client_disconnected_right_after_the_check(how):
+    # If `+OK` only went to a buffer of the transport, the message would count as accepted although the client
+    # is gone.
     @with_server()
     async def _(server, acceptor):
         with socket.create_connection(server.address) as sock:
@@ -102,15 +103,15 @@
                 sock.shutdown(socket.SHUT_WR)
             else:
                 sock.close()
-            assert answer(ACCEPTED) is False  # no turn of the event loop since: it has not read the end
+            assert answer(ACCEPTED) is False  # in the same loop iteration, so the close was not read yet
             if how == "shut":
                 sock.setblocking(False)
                 line = await asyncio.get_running_loop().sock_recv(sock, 100)
-                assert line.startswith(b"-BUSY"), "whoever ended its sending alone hears the truth"
+                assert line.startswith(b"-BUSY"), "a half-closed client must be told the refusal"
 
 
-def test_a_repeat_of_what_was_accepted_is_told_so_behind_an_open_request():
-    # Such an answer may wait: the message is accepted, whoever hears of it.
+def test_a_repeat_of_an_accepted_message_is_answered_after_an_open_request():
+    # This answer may wait its turn, since the message is already accepted.
     @with_server()
     async def _(server, acceptor):
         client = await connect(server)
@@ -145,7 +146,7 @@
         b"GET / HTTP/1.1\r\n\r\n",
     ],
 )
-def test_what_is_not_resp_gets_an_error_and_costs_its_own_connection_only(data):
+def test_malformed_resp_gets_an_error_and_closes_only_its_own_connection(data):
     @with_server()
     async def _(server, acceptor):
         good, bad = await connect(server), await connect(server)
@@ -153,7 +154,7 @@
         assert (await bad.line()).startswith(b"-ERR ")
         try:
             assert await bad.line() == b""
-        except ConnectionResetError:  # what it sent beyond that was not read
+        except ConnectionResetError:  # the rest of its input was not read
             pass
         assert await good.ask(b"PING") == b"+PONG\r\n"
 
@@ -174,7 +175,7 @@
         ([b"OUT.ADD", b"0", b"m1", b"c=note,d=1,dest=1", bytes(MAX_BODY_BYTES + 1)], b"65536"),
     ],
 )
-def test_a_request_that_makes_no_sense_gets_an_error_and_the_next_is_served(words, says):
+def test_an_invalid_request_gets_an_error_and_the_next_is_served(words, says):
     @with_server()
     async def _(server, acceptor):
         client = await connect(server)
@@ -195,8 +196,8 @@
         assert offer.id == words[2] and offer.body == words[4]
 
 
-def test_a_client_that_goes_without_its_answer_withdraws_its_message():
-    # Guards against delivering under an id that the client has given up and hands in anew.
+def test_a_client_that_disconnects_before_its_answer_withdraws_its_message():
+    # It submits the message again under the same id, so the first submission must not be delivered.
     @with_server()
     async def _(server, acceptor):
         client = await connect(server)
@@ -206,7 +207,7 @@
         assert await acceptor.withdrawn.get() == 1
 
 
-def test_one_client_too_many_is_told_so():
+def test_a_client_over_the_limit_gets_an_error():
     @with_server(most=1)
     async def _(server, acceptor):
         first = await connect(server)
@@ -219,8 +220,8 @@
         assert await first.line() == b"+OK\r\n"
 
 
-def test_the_client_that_has_been_silent_longest_gives_way():
-    # Guards against a table full of connections whose clients vanished without a word.
+def test_the_least_recently_active_client_is_evicted():
+    # Connections whose clients vanished must not fill the limit.
     @with_server(most=2)
     async def _(server, acceptor):
         first, second = await connect(server), await connect(server)
@@ -237,13 +238,13 @@
     async def _(server, acceptor):
         client = await connect(server)
         assert await client.ask(b"PING") == b"+PONG\r\n"
-        client.send(b"PING")  # in the kernel by now, and not read while this does not wait
+        client.send(b"PING")  # in the kernel by now; the loop reads it only when this awaits
         server.drain()
         assert await client.line() == b"+PONG\r\n" and await client.line() == b""
 
 
-def test_a_client_that_takes_no_answers_is_not_read_on():
-    # Guards against answers that pile up in memory.
+def test_reading_stops_for_a_client_that_reads_no_answers():
+    # Otherwise unread answers would fill memory.
     @with_server()
     async def _(server, acceptor):
         client = await connect(server)
@@ -257,7 +258,7 @@
 
 
 def test_connections_are_closed_between_requests_only():
-    # Guards against ending a connection with a request on it, which would lose the message.
+    # Closing a connection with an open request would lose the message.
     @with_server()
     async def _(server, acceptor):
         idle, asking, writing = [await connect(server) for _ in range(3)]
@@ -276,17 +277,17 @@
         assert await writing.line() == b"+PONG\r\n" and await writing.line() == b""
 
 
-@pytest.mark.parametrize("said", [b"", b"*1\r\n$4\r\nPI", b"*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPI"])
-def test_a_client_that_says_nothing_or_half_a_request_is_told_so_and_closed(said, monkeypatch):
-    # Guards against descriptors that silent clients hold for good.
+@pytest.mark.parametrize("sent", [b"", b"*1\r\n$4\r\nPI", b"*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPI"])
+def test_a_client_that_sends_nothing_or_a_partial_request_gets_an_error_and_is_closed(sent, monkeypatch):
+    # Silent clients must not hold file descriptors for ever.
     monkeypatch.setattr(admission, "SILENT_S", 0.1)
 
     @with_server()
     async def _(server, acceptor):
         client = await connect(server)
-        client.writer.write(said)
+        client.writer.write(sent)
         lines = (await client.reader.read()).splitlines()
-        assert lines[:-1] == [b"+PONG"] * said.count(b"PING") and lines[-1].startswith(b"-ERR ")
+        assert lines[:-1] == [b"+PONG"] * sent.count(b"PING") and lines[-1].startswith(b"-ERR ")
 
 
 def test_a_connection_kept_for_good_is_closed_between_requests_only(monkeypatch):
@@ -303,7 +304,7 @@
         assert await asking.line() == b"+OK\r\n" and await asking.line() == b""
 
 
-def test_a_crowd_that_says_nothing_gives_way_to_those_who_ask():
+def test_silent_connections_are_evicted_for_clients_with_requests():
     @with_server(most=4)
     async def _(server, acceptor):
         good = await connect(server)
@@ -314,7 +315,7 @@
         assert [await client.line() for client in crowd[:50]] == [b""] * 50
 
 
-def test_requests_that_are_half_sent_take_no_more_memory_than_they_may():
+def test_memory_of_partial_requests_is_limited():
     @with_server()
     async def _(server, acceptor):
         server.max_incomplete_bytes = 100_000
@@ -331,9 +332,9 @@
         assert server.incomplete_bytes == 0
 
 
-def test_many_requests_at_once_are_served_in_turns_and_none_is_lost(monkeypatch):
-    # Guards against one connection that holds up all others.
-    monkeypatch.setattr(clients, "MAX_BURST", 4)
+def test_pipelined_requests_are_served_in_bursts_and_none_is_lost(monkeypatch):
+    # One connection must not starve the others.
+    monkeypatch.setattr(resp2_front, "MAX_BURST", 4)
 
     @with_server()
     async def _(server, acceptor):
@@ -347,9 +348,9 @@
         assert [await client.line() for _ in range(30)] == [b"+OK\r\n"] * 30
 
 
-def test_after_an_error_nothing_is_read_for_a_while(monkeypatch):
-    # Guards against a client that asks the same again as soon as it is turned away.
-    monkeypatch.setattr(clients, "ERROR_PAUSE_S", 30.0)
+def test_reading_pauses_after_an_error(monkeypatch):
+    # A client must not repeat an invalid request in a busy loop.
+    monkeypatch.setattr(resp2_front, "ERROR_PAUSE_S", 30.0)
 
     @with_server()
     async def _(server, acceptor):
@@ -370,7 +371,7 @@
 @given(st.lists(st.lists(st.binary(max_size=9), min_size=1, max_size=5), max_size=4), st.data())
 @settings(derandomize=True, deadline=None)
 def test_framing_passes_what_makes_sense_however_it_is_cut(requests, data):
-    framing, at = clients.Framing(), 0
+    framing, at = resp2_front.Framing(), 0
     text = b"".join(map(pack, requests))
     while at < len(text):
         step = data.draw(st.integers(1, len(text)))
@@ -381,8 +382,8 @@
     assert framing.accept_bytes(b"*1\r\n$4\r\nPI") == 10 and framing.size == 10
 
 
-def test_those_who_wait_in_the_queue_of_a_listener_that_closes_are_served():
-    # Guards against a client whose connection is there, whose request is sent, and which is reset at an end.
+def test_connections_in_the_queue_of_a_listener_that_closes_are_served():
+    # Their connections are established and requests sent: closing the listener would reset them.
     @with_server(most=64)
     async def _(server, acceptor):
         server.pause_listening()
@@ -395,8 +396,8 @@
             assert await client.line() == b"+PONG\r\n"
 
 
-def test_no_answer_is_held_back_by_the_system():
-    # Guards against small answers that wait for the word on the one before, and go with a reset connection.
+def test_answers_are_sent_with_tcp_nodelay():
+    # Without TCP_NODELAY, an answer that waits for an acknowledgement is lost if the connection is reset.
     @with_server()
     async def _(server, acceptor):
         client = await connect(server)
@@ -406,15 +407,15 @@
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-def test_answers_that_are_out_survive_a_close_over_unread_bytes():
-    # Guards against a reset that takes an answer along: its client would hand the message in again. What is
-    # unread it sends once more on another connection.
+def test_sent_answers_survive_a_close_with_unread_input():
+    # If a reset discarded an answer, the client would submit the message again. Requests that were not read
+    # it sends on another connection.
     @with_server()
     async def _(server, acceptor):
         loop = asyncio.get_running_loop()
         with socket.create_connection(server.address) as sock:
             sock.setblocking(False)
-            for _ in range(20):  # it has become slow to say what it has
+            for _ in range(20):  # leaves quick-ack mode, so that acknowledgements are delayed
                 await loop.sock_sendall(sock, b"*1\r\n$4\r\nPING\r\n")
                 assert await loop.sock_recv(sock, 100) == b"+PONG\r\n"
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_QUICKACK, 0)
@@ -422,7 +423,7 @@
             answers = [(await acceptor.offers.get())[1] for _ in range(2)]
             (connection,) = server.clients
             connection.draining = True
-            sock.send(pack(ADD))  # in the very moment, and unread
+            sock.send(pack(ADD))  # at the same moment, and not read
             for answer in answers:
                 answer(ACCEPTED)
             while server.clients:
@@ -430,5 +431,5 @@
             assert acceptor.offers.empty()
             sock.settimeout(5.0)
             assert sock.recv(100) == b"+OK\r\n+OK\r\n"
-            with pytest.raises(ConnectionResetError):  # or this run proves nothing
+            with pytest.raises(ConnectionResetError):  # otherwise this run proves nothing
                 sock.recv(100)
