--- a/tests/test_fronts_cloudevents.py
+++ b/tests/test_fronts_cloudevents.py
@@ -1,4 +1,4 @@
-"""The CloudEvents front over loopback, on the real core: what is taken, refused, waited for, turned away."""
+"""The CloudEvents front over loopback, on the real core: accepted, refused, awaited and rejected events."""
 
 import asyncio
 import json
@@ -27,7 +27,7 @@
 
 
 class Front:
-    """A core with one partner that the test plays, and both fronts before it."""
+    """A core with both fronts, and one partner that the test plays."""
 
     async def start(self, folder, most=16, max_incomplete_bytes=4_000_000):
         self.core = await Bench().start(folder)
@@ -42,7 +42,7 @@
 
 
 class Browser:
-    """An HTTP client by hand."""
+    """A minimal HTTP client."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer = reader, writer
@@ -91,7 +91,7 @@
     return decorate
 
 
-def test_an_event_is_taken_on_and_its_data_goes_to_the_partner(tmp_path):
+def test_an_event_is_accepted_and_its_data_is_sent_to_the_partner(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -116,7 +116,7 @@
         assert kept.body == b"hello" and kept.cls == "note"
 
 
-def test_the_same_event_again_is_the_same_message_also_past_its_end(tmp_path):
+def test_the_same_event_again_is_the_same_message_even_after_its_end(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client, other = await front.connect(), await front.connect()
@@ -133,7 +133,7 @@
         assert not front.node.by_id and front.partner.requests.empty()
 
 
-def test_an_event_that_is_being_taken_on_may_come_again_soon(tmp_path):
+def test_an_event_that_is_being_accepted_may_be_posted_again_soon(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         one, two = await front.connect(), await front.connect()
@@ -150,7 +150,7 @@
     ("cls", "answer", "status", "state"),
     [("note", 200, 200, "delivered"), ("pay", 200, 200, "delivered"), ("pay", 500, 502, "failed")],
 )
-def test_a_client_that_waits_hears_the_end(tmp_path, cls, answer, status, state):
+def test_a_waiting_client_gets_the_outcome(tmp_path, cls, answer, status, state):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -161,7 +161,7 @@
         assert headers["preference-applied"] == "wait=30"
 
 
-def test_a_wait_that_is_over_is_answered_with_what_is_known(tmp_path):
+def test_an_expired_wait_is_answered_with_the_current_state(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -172,7 +172,7 @@
         await front.node.idle.wait()
 
 
-def test_a_full_house_refuses_with_a_time_and_the_event_may_come_again(tmp_path):
+def test_a_full_dispatcher_refuses_with_retry_after_and_the_event_may_be_repeated(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         most = front.node.settings.max_held
@@ -187,7 +187,7 @@
         assert (await client.answer())[0] == 202
 
 
-def test_in_a_batch_each_event_has_its_own_end_and_one_identity_is_one_event(tmp_path):
+def test_in_a_batch_each_event_has_its_own_status_and_one_identity_is_one_event(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -201,14 +201,14 @@
         assert (await client.answer())[2] == []
 
 
-def test_a_batch_that_waits_hears_each_end(tmp_path):
+def test_a_waiting_batch_gets_each_outcome(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
         client.batch([EVENT, EVENT, EVENT | {"id": "2", "type": "com.example.pay"}], {"Prefer": "wait=30"})
         for _ in range(2):
             request = await front.partner.next()
-            paid = int(request.headers["x-time-left-ms"]) > 6000  # a payment may run for longer
+            paid = int(request.headers["x-time-left-ms"]) > 6000  # payments have more time
             request.answer(500 if paid else 200)
         status, _, told = await client.answer()
         assert status == 207 and [row["status"] for row in told] == [200, 200, 502]
@@ -238,7 +238,7 @@
         assert (await client.answer())[0] == 202
 
 
-def test_an_unknown_destination_is_told(tmp_path):
+def test_an_unknown_destination_is_reported(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -247,7 +247,7 @@
         assert status == 400 and told["detail"] == "unknown destination 8"
 
 
-def test_a_malformed_event_beside_a_valid_one_costs_it_nothing(tmp_path):
+def test_a_malformed_event_does_not_affect_a_valid_one(tmp_path):
     # In a pipeline on one connection, and at the same instant on two.
     @with_front(tmp_path)
     async def _(front):
@@ -275,7 +275,7 @@
         (b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
     ],
 )
-def test_what_cannot_be_read_is_told_and_its_connection_closed(tmp_path, data, status):
+def test_malformed_http_gets_an_error_and_its_connection_is_closed(tmp_path, data, status):
     @with_front(tmp_path)
     async def _(front):
         client, good = await front.connect(), await front.connect()
@@ -293,24 +293,24 @@
 @pytest.mark.parametrize(
     ("data", "statuses"),
     [
-        # A length beside chunks, which two readers could take for two requests (RFC 9112, section 6.1).
+        # Content-Length with chunks: request smuggling (RFC 9112, section 6.1).
         (HEAD + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", [400]),
         (HEAD + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", [400]),
-        # A length that is too short: the event is what it says, the rest is no request.
+        # Content-Length too short: the event ends there, the rest is not a request.
         (HEAD + "Content-Length: 3\r\n\r\nhello\r\n\r\n", [202, 400]),
         # A folded header counts as one line, with a space (RFC 9112, section 5.2).
         (HEAD.replace("ce-id: 1", "ce-id: 1\r\n 2") + "Content-Length: 0\r\n\r\n", [202]),
-        # A header of ours that is there twice, or cannot be read.
+        # A `ce-` header that is duplicated or malformed.
         (HEAD + "ce-id: 2\r\nContent-Length: 0\r\n\r\n", [400]),
         (HEAD + "CE-Id: 1\r\nContent-Length: 0\r\n\r\n", [400]),
         (HEAD + "ce-name: %C3%28\r\nContent-Length: 0\r\n\r\n", [400]),
         (HEAD + "ce-name: \xff\r\nContent-Length: 0\r\n\r\n", [400]),
         (HEAD + "ce name: 1\r\nContent-Length: 0\r\n\r\n", [400]),
-        # Too much, told before it is sent: no 100 Continue.
+        # Too large, rejected before the body is sent: no 100 Continue.
         (HEAD + "Expect: 100-continue\r\nContent-Length: 9999999\r\n\r\n", [413]),
     ],
 )
-def test_requests_that_two_readers_could_take_apart_are_refused(tmp_path, data, statuses):
+def test_ambiguously_framed_requests_are_refused(tmp_path, data, statuses):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -320,7 +320,7 @@
         assert len(front.node.by_id) == statuses.count(202)
 
 
-def test_a_length_that_is_too_long_waits_and_is_told_so(tmp_path, monkeypatch):
+def test_a_content_length_that_is_too_long_times_out(tmp_path, monkeypatch):
     monkeypatch.setattr(admission, "SILENT_S", 0.3)
 
     @with_front(tmp_path)
@@ -351,13 +351,13 @@
         assert status == 400 and told["attribute"] == "data"
 
 
-def test_a_client_that_waits_while_the_dispatcher_restarts_hears_the_end_when_it_posts_again(tmp_path):
+def test_a_client_that_waits_over_a_restart_gets_the_outcome_when_it_posts_again(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
-        client.binary(more={"Prefer": "wait=30"})  # it may run twice
+        client.binary(more={"Prefer": "wait=30"})  # repeatable
         await front.partner.next()
-        client.writer.transport.abort()  # the process is killed
+        client.writer.transport.abort()  # as if the process were killed
         front.clients.stop_listening()
         for message in front.node.messages.values():
             message.watchdog.cancel()
@@ -376,7 +376,7 @@
         assert status == 200 and told["state"] == "delivered" and headers["preference-applied"] == "wait=30"
 
 
-def test_a_body_that_goes_on_without_end_is_cut_off(tmp_path):
+def test_an_endless_body_is_rejected(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -403,7 +403,7 @@
         assert (await front.partner.next()).body == b"hello"
 
 
-def test_a_client_that_ends_its_sending_still_hears_all_answers(tmp_path):
+def test_a_half_closed_client_still_gets_all_answers(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -414,7 +414,7 @@
         assert await client.closed()
 
 
-def test_an_event_too_large_is_told_and_one_as_large_as_may_be_is_taken(tmp_path):
+def test_an_event_over_the_size_limit_is_rejected_and_one_at_the_limit_accepted(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -434,19 +434,21 @@
         assert not front.node.by_id
 
 
-@pytest.mark.parametrize("said", [b"", b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhal"])
-def test_a_client_that_says_nothing_or_half_a_request_is_told_so_and_closed(tmp_path, monkeypatch, said):
+@pytest.mark.parametrize("sent", [b"", b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nhal"])
+def test_a_client_that_sends_nothing_or_a_partial_request_gets_an_error_and_is_closed(
+    tmp_path, monkeypatch, sent
+):
     monkeypatch.setattr(admission, "SILENT_S", 0.1)
 
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
-        client.writer.write(said)
+        client.writer.write(sent)
         assert (await client.answer())[0] == 408
         assert await client.closed() and front.clients.incomplete_bytes == 0
 
 
-def test_half_sent_bytes_are_bounded_over_both_fronts(tmp_path):
+def test_bytes_of_partial_requests_are_limited_across_both_fronts(tmp_path):
     @with_front(tmp_path, max_incomplete_bytes=50_000)
     async def _(front):
         raw = Resp2Client(*await asyncio.open_connection(*front.resp2))
@@ -459,8 +461,8 @@
         assert status == 503 and headers["retry-after"] == "1"
 
 
-def test_what_a_waiting_client_sends_ahead_is_bounded(tmp_path):
-    # It would be read into memory for as long as the client waits.
+def test_input_pipelined_by_a_waiting_client_is_limited(tmp_path):
+    # It would fill memory while the client waits.
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -477,11 +479,11 @@
         assert (await client.answer())[0] == 400
 
 
-def test_connections_are_bounded_over_both_fronts(tmp_path):
+def test_connections_are_limited_across_both_fronts(tmp_path):
     @with_front(tmp_path, most=2)
     async def _(front):
         first, second = await front.connect(), await front.connect()
-        for number, client in enumerate((first, second)):  # both wait for an end, so that neither gives way
+        for number, client in enumerate((first, second)):  # both have an open request, so neither is evicted
             client.binary(more={"Prefer": "wait=30"}, id=f"{number}")
             await front.partner.next()
         raw = Resp2Client(*await asyncio.open_connection(*front.resp2))
@@ -490,10 +492,11 @@
         assert (await third.answer())[0] == 503
 
 
-def test_a_client_that_goes_before_its_answer_takes_its_event_with_it(tmp_path, monkeypatch):
+def test_a_client_that_disconnects_before_its_answer_withdraws_its_event(tmp_path, monkeypatch):
     @with_front(tmp_path)
     async def _(front):
-        monkeypatch.setattr(front.node, "note", lambda event: front.node.events.append(event))  # no turn yet
+        # The node processes no event yet.
+        monkeypatch.setattr(front.node, "note", lambda event: front.node.events.append(event))
         client = await front.connect()
         client.binary()
         while not front.node.by_id:
@@ -503,7 +506,7 @@
             await asyncio.sleep(0.01)
 
 
-def test_a_client_that_goes_while_it_waits_leaves_its_event(tmp_path):
+def test_a_client_that_disconnects_while_it_waits_keeps_its_event(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -517,15 +520,15 @@
         assert (await again.answer())[2]["state"] == "delivered"
 
 
-def test_an_event_that_was_out_at_a_restart_is_failed_and_never_runs_again(tmp_path):
+def test_an_event_with_an_open_call_at_a_restart_is_failed_and_never_runs_again(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
         client.binary(type="com.example.pay")
         assert (await client.answer())[0] == 202
-        await front.partner.next()  # and no answer
+        await front.partner.next()  # not answered
 
-    for life in range(2):  # the second one finds the platform told
+    for life in range(2):  # in the second the platform has the notice
 
         @with_front(tmp_path)
         async def _(front, life=life):
@@ -558,7 +561,7 @@
         assert front.partner.requests.empty() and front.core.ends.empty()
 
 
-def test_an_identity_is_forgotten_some_time_after_its_time_was_up_also_at_a_restart(tmp_path, monkeypatch):
+def test_an_identity_is_forgotten_some_time_after_its_expiry_also_at_a_restart(tmp_path, monkeypatch):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -571,7 +574,7 @@
     init = Node.__init__
 
     def long_after(self, *told):
-        init(self, *told, keep_s=-100.0)  # as if it had been long ago
+        init(self, *told, keep_s=-100.0)  # as if it had ended long ago
 
     monkeypatch.setattr(Node, "__init__", long_after)
 
@@ -584,7 +587,7 @@
         assert (await front.partner.next()).body == b"hello"
 
 
-def test_an_event_that_was_refused_may_come_again(tmp_path):
+def test_a_refused_event_may_be_repeated(tmp_path):
     @with_front(tmp_path)
     async def _(front):
         client = await front.connect()
@@ -597,8 +600,8 @@
         assert front.node.remembered_ends.ends == {}
 
 
-def test_where_no_further_identity_can_be_remembered_events_are_refused_and_none_is_forgotten(tmp_path):
-    # Forgetting an old one to make room would let a payment that is posted again run twice.
+def test_events_are_refused_and_no_identity_forgotten_if_no_more_can_be_remembered(tmp_path):
+    # If an old identity were forgotten to make room, a payment posted again would run twice.
     @with_front(tmp_path)
     async def _(front):
         front.node.remembered_ends.most = 2
@@ -614,7 +617,7 @@
         client.binary(id="0")
         assert (await client.answer())[2]["state"] == "delivered"
         raw = Resp2Client(*await asyncio.open_connection(*front.resp2))
-        assert await raw.add(b"m1") == b"+OK\r\n"  # nothing of it is remembered
+        assert await raw.add(b"m1") == b"+OK\r\n"  # RESP2 messages are not remembered
 
 
 def test_ends_are_remembered_for_a_while_and_within_a_bound():
