--- a/tests/test_close_over_unread.py
+++ b/tests/test_close_over_unread.py
@@ -1,4 +1,4 @@
-"""An answer that the system took, and that no client can hear."""
+"""Acceptances that the kernel has taken but that never reach the client."""
 
 import asyncio
 import contextlib
@@ -15,10 +15,10 @@
 
 
 class Acceptor:
-    """Accepts each offer in the step in which it comes, where its client can be answered."""
+    """Accepts each submission at once if its client is reachable, else refuses it."""
 
     def __init__(self):
-        self.accepted = []  # whether the system took the answer
+        self.accepted = []  # whether the kernel took each answer
 
     def offer(self, offer, answer, ended=None, reachable=None):
         if reachable():
@@ -34,7 +34,7 @@
 
 
 async def unread_client(address, pings):
-    """One with a small window that asks and reads nothing."""
+    """A client with a small receive window that sends PINGs and reads no answer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
     sock.setblocking(False)
@@ -53,8 +53,8 @@
     return got
 
 
-def test_an_answer_behind_a_full_window_is_not_taken_for_heard():
-    # The client reads nothing: the system takes `+OK`, and no byte of it leaves the machine.
+def test_an_answer_held_back_by_a_full_window_does_not_count_as_received():
+    # The client reads nothing: the kernel takes `+OK` into its buffer, and no byte of it is sent.
     async def work():
         acceptor = Acceptor()
         server = ConnectionManager(acceptor, 16)
@@ -63,14 +63,14 @@
         await asyncio.sleep(1.0)
         await asyncio.get_running_loop().sock_sendall(sock, ADD)
         await asyncio.sleep(0.3)
-        sock.close()  # its 400 ms are over
-        assert acceptor.accepted in ([], [False]), "accepted, and its client cannot have heard"
+        sock.close()  # it has waited 400 ms
+        assert acceptor.accepted in ([], [False]), "accepted, but the client cannot have received the answer"
 
     run(work())
 
 
-def test_a_close_over_unread_bytes_does_not_destroy_an_acceptance():
-    # An error on a pipelined request ends the connection: the reset goes before what the window holds back.
+def test_a_close_with_unread_input_does_not_discard_an_acceptance():
+    # A bad pipelined request closes the connection, and the reset overtakes answers held back by the window.
     async def work():
         acceptor = Acceptor()
         server = ConnectionManager(acceptor, 16)
