--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -1,5 +1,5 @@
-"""One suite, run once for each front with each partner's protocol: the same faults must give the same final
-answers and as many sends, message by message."""
+"""One suite for every combination of client protocol and partner protocol: the same faults must give the same
+outcome and the same number of attempts for each message."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 FRONTS = ("resp2", "binary", "structured", "batch")
 PARTNERS = ("platform", "binary", "structured", "batch")
-# What befalls the attempts of a message, one after another; its end, and how many attempts reach the partner.
+# By name: class, what happens to each attempt in turn, outcome, number of attempts that reach the partner.
 SCRIPTS = {
     "delivered": ("pay", ["deliver"], "delivered", 1),
     "refused, then delivered": ("pay", ["refuse", "deliver"], "delivered", 2),
@@ -38,11 +38,11 @@
 }
 
 
-FOUND = {}  # by script: the end and the sends, by front and partner
+FOUND = {}  # by script: outcome and attempts, by front and partner
 
 
 def table():
-    """What was found, a line a script: `conftest.py` prints it at the end of a run."""
+    """The results, one line for each script and front; `conftest.py` prints them after a run."""
     lines = [f"{'final answer and sends, by front and partner':46}" + " ".join(f"{p:>12}" for p in PARTNERS)]
     for name, cells in FOUND.items():
         for way in FRONTS:
@@ -52,7 +52,7 @@
 
 
 class Partner(Peer):
-    """Its first connections may end while the request comes in."""
+    """A partner that resets its first `early` connections during the request."""
 
     early = 0
 
@@ -69,7 +69,7 @@
 
 
 def act(request, what, events):
-    """What the partner does with one attempt, in its protocol."""
+    """Let the partner answer one attempt, in its protocol."""
     match what:
         case "deliver":
             request.answer(202 if events else 200)
@@ -109,7 +109,7 @@
 
 
 async def play(folder, way, speaks, cls, script, monkeypatch):
-    """The end of one message, the requests that reached the partner whole, and what was in them."""
+    """Play `script` for one message; returns its outcome and the complete requests seen by the partner."""
     folder.mkdir()
     bench = Bench()
     peer = Partner()
@@ -144,7 +144,7 @@
 
 
 def identity(request, speaks):
-    """Which message the partner takes it for, and the data that came with it."""
+    """The message identity as seen by the partner, and the data."""
     if speaks == "platform":
         return request.headers["x-correlation-id"], request.body
     told, (event,) = decode(list(request.headers.items()), request.body)
@@ -166,7 +166,7 @@
         FOUND.setdefault(name, {})[way, speaks] = f"{end} {len(seen)}"
         assert (end, len(seen)) == (expected, sends)
         told = {identity(request, speaks) for request in seen}
-        assert len(told) == 1, "its attempts are not the same message"
+        assert len(told) == 1, "the attempts have different identities"
         ((who, data),) = told
         assert data == b"hello"
         if speaks != "platform":
@@ -175,8 +175,8 @@
     run(work())
 
 
-def test_a_partner_that_says_gone_or_moves_away_gets_the_event_again_but_not_for_ever(tmp_path, monkeypatch):
-    # 202 to others before; now 410 and a redirect: neither ran, and the redirect is not followed.
+def test_410_and_redirects_from_a_partner_are_retried_up_to_the_attempt_limit(tmp_path, monkeypatch):
+    # Neither 410 nor a redirect ran the event, and the redirect is not followed.
     async def work():
         peer = Partner()
         monkeypatch.setattr("test_node.Peer", lambda: peer)
