--- a/tests/test_two_clients.py
+++ b/tests/test_two_clients.py
@@ -1,4 +1,4 @@
-"""The same message handed in on two connections: one is lost, the other heard."""
+"""The same event posted on two connections, one of which is lost."""
 
 import asyncio
 import socket
@@ -8,8 +8,8 @@
 from test_fronts_cloudevents import Front
 
 
-def test_a_poster_that_heard_202_keeps_its_event_though_the_first_poster_was_lost_unheard(tmp_path):
-    # An edge "connection lost, unheard: bounced" by message would break the word that the second one has.
+def test_an_event_accepted_on_a_second_connection_survives_the_loss_of_the_first(tmp_path):
+    # Ending the message because the first connection is lost would break the acceptance sent on the second.
     async def work():
         front = await Front().start(tmp_path)
         first, second = await front.connect(), await front.connect()
@@ -24,15 +24,15 @@
         request.answer(503)
         (await front.partner.next()).answer(200)
         await front.node.idle.wait()
-        assert front.core.ends.empty(), "it was ended by a notice"
+        assert front.core.ends.empty(), "the message was ended by a notice"
         front.clients.stop_listening()
         front.core.journal.close()
 
     run(work())
 
 
-def test_an_event_whose_poster_left_right_behind_its_202_is_delivered_once_and_known(tmp_path):
-    # Its identity answers for it: posted again, it is the message that it is.
+def test_an_event_whose_client_disconnected_around_its_202_is_delivered_once_and_recognised(tmp_path):
+    # Posted again, it is recognised by its identity.
     async def work():
         front = await Front().start(tmp_path)
         for at in range(30):
@@ -57,14 +57,14 @@
 
         serving = asyncio.create_task(serve())
         await asyncio.sleep(0.2)
-        sent_on = len(seen)
+        delivered_early = len(seen)
         for at in range(30):
             client = await front.connect()
             client.binary(id=f"e{at}")
             assert (await client.answer())[0] in (200, 202)
         await asyncio.sleep(0.3)
         await front.node.idle.wait()
-        print("sent on unheard:", sent_on, "of 30; in all", len(seen))
+        print("delivered before the second post:", delivered_early, "of 30; in all", len(seen))
         assert len(seen) == len(set(seen)) == 30
         serving.cancel()
         front.clients.stop_listening()
