--- a/tests/leavers.py
+++ b/tests/leavers.py
@@ -1,4 +1,4 @@
-"""Clients on plain sockets that leave as a test tells them, and an endpoint that answers by a table."""
+"""Test doubles: clients on plain sockets that disconnect on command, and a scripted endpoint."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 from doubles import ROOT, Peer, Program, Request
 
-TAKEN = b"+OK\r\n"
-TURNS = 8  # of the loop, until what has come to an endpoint's socket is among its calls
-STOPS_S = 5.0  # a process that is told to has stopped by then
-QUIET_S = 1.0  # a program that would call once more does so well within this
+ACCEPTED = b"+OK\r\n"
+LOOP_TURNS = 8  # event loop iterations until input on an endpoint's socket is among its calls
+STOP_TIMEOUT_S = 5.0  # for a process to stop after SIGSTOP
+SETTLE_S = 1.0  # a further call, if there is one, comes well within this
 
 
-class Roomy(Program):
-    """The program with room for as many messages as a test hands in."""
+class ManyMessagesProgram(Program):
+    """The program with a limit of 1000 held messages."""
 
     def config(self) -> dict:
         config = super().config()
@@ -32,8 +32,8 @@
         return config
 
 
-class Copying(Roomy):
-    """The program where second copies are allowed, with three endpoints that one double plays."""
+class DuplicatingProgram(ManyMessagesProgram):
+    """The program with duplicate attempts allowed, and three endpoints played by one double."""
 
     def config(self) -> dict:
         config = super().config()
@@ -43,13 +43,13 @@
         return config
 
 
-class Apart(Roomy):
-    """Each class has a destination and an endpoint of its own, so that neither takes the other's turns. One
-    double plays both."""
+class SeparateDestinationsProgram(ManyMessagesProgram):
+    """The program with a destination and an endpoint for each class, so that the classes don't compete. One
+    double plays both endpoints."""
 
     DESTINATIONS = {"note": 7, "pay": 8}
 
-    async def start_doubles(self) -> Apart:
+    async def start_doubles(self) -> SeparateDestinationsProgram:
         await super().start_doubles()
         self.second = await asyncio.start_server(self.partner.serve, self.partner.host, 0)
         return self
@@ -63,7 +63,7 @@
 
 
 def with_shim(folder: Path, monkeypatch, source: str) -> None:
-    """Run the program with this module loaded into it at its start."""
+    """Make the program load this module at start."""
     (folder / "sitecustomize.py").write_text(source)
     monkeypatch.setenv("PYTHONPATH", f"{folder}:{ROOT}")
 
@@ -72,35 +72,35 @@
     (folder / "sitecustomize.py").unlink()
 
 
-def words(name: bytes, cls: str = "note", left_ms: int = 6000, dest: int = 7) -> bytes:
-    """The request that hands that message in."""
-    told = f"c={cls},d={left_ms},dest={dest}".encode()
-    parts = [b"OUT.ADD", b"0" * 16, name, told, b"hello"]
+def submission(name: bytes, cls: str = "note", left_ms: int = 6000, dest: int = 7) -> bytes:
+    """The RESP2 request that submits a message."""
+    fields = f"c={cls},d={left_ms},dest={dest}".encode()
+    parts = [b"OUT.ADD", b"0" * 16, name, fields, b"hello"]
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
 class RawClient:
-    """A client whose every system call is the test's. `left_at` is when its leaving call had returned,
-    `heard` what it read."""
+    """A client on a blocking socket, whose system calls the test makes. `disconnected_at` is when its last
+    call returned, `received` what it read."""
 
     def __init__(self, program: Program, name: bytes, cls: str = "note", dest: int = 7) -> None:
         self.sock = socket.create_connection((program.host, program.port))
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.port = self.sock.getsockname()[1]
-        self.name, self.cls, self.left_at, self.heard = name, cls, float("inf"), b""
+        self.name, self.cls, self.disconnected_at, self.received = name, cls, float("inf"), b""
         self.dest = dest
-        self.names = [name]  # of all that it handed in
+        self.message_ids = [name]  # of all that it submitted
 
-    def hand_in(self, left_ms: int = 6000) -> None:
-        self.sock.sendall(words(self.name, self.cls, left_ms, self.dest))
+    def submit(self, left_ms: int = 6000) -> None:
+        self.sock.sendall(submission(self.name, self.cls, left_ms, self.dest))
 
-    def hand_in_burst(self, count: int) -> None:
-        """So many messages at once."""
-        self.names = [b"%s-%d" % (self.name, number) for number in range(count)]
-        self.sock.sendall(b"".join(words(name, self.cls) for name in self.names))
+    def submit_burst(self, count: int) -> None:
+        """Submit `count` messages in one write."""
+        self.message_ids = [b"%s-%d" % (self.name, number) for number in range(count)]
+        self.sock.sendall(b"".join(submission(name, self.cls) for name in self.message_ids))
 
     async def answered(self) -> None:
-        """Until something waits to be read: its answer, or the end of the connection."""
+        """Wait until there is input: the answer, or the end of the connection."""
         loop, ready = asyncio.get_running_loop(), asyncio.Event()
         loop.add_reader(self.sock, ready.set)
         try:
@@ -108,51 +108,51 @@
         finally:
             loop.remove_reader(self.sock)
 
-    async def hear(self) -> bytes:
-        """Read the answer; nothing where the connection ended without one."""
+    async def read_answer(self) -> bytes:
+        """Read the answer; b"" if the connection ended without one."""
         await self.answered()
         with contextlib.suppress(ConnectionError):
-            self.heard = self.sock.recv(64)
-        return self.heard
+            self.received = self.sock.recv(64)
+        return self.received
 
-    def hear_if_there(self) -> None:
-        """Read the answer if it has come."""
+    def read_answer_if_present(self) -> None:
+        """Read the answer if it has arrived."""
         with contextlib.suppress(BlockingIOError):
-            self.heard = self.sock.recv(64, socket.MSG_DONTWAIT)
+            self.received = self.sock.recv(64, socket.MSG_DONTWAIT)
 
     def close(self) -> None:
-        """Over bytes that were not read the system makes this a reset."""
+        """Close; with unread input the kernel sends a reset."""
         self.sock.close()
-        self.left_at = time.monotonic()
+        self.disconnected_at = time.monotonic()
 
     def reset(self) -> None:
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close()
 
-    def shut_both_ways(self) -> None:
-        """As many libraries close: an end goes out, and behind it a reset over bytes that were not read."""
+    def shut_down_and_close(self) -> None:
+        """Close as many libraries do: a FIN, followed by a reset if there is unread input."""
         self.sock.shutdown(socket.SHUT_RDWR)
         self.close()
 
     def half_close(self) -> None:
-        """It has no more to say, and still listens: it has not left."""
+        """Close the sending side only; the client still reads."""
         self.sock.shutdown(socket.SHUT_WR)
 
-    def leave(self, how: str) -> None:
-        {"close": self.close, "reset": self.reset, "shut": self.shut_both_ways}[how]()
+    def disconnect(self, how: str) -> None:
+        {"close": self.close, "reset": self.reset, "shut": self.shut_down_and_close}[how]()
 
 
 def clients_of(program: Program, count: int) -> list[RawClient]:
-    """So many, of both classes in turn."""
+    """`count` clients, of both classes in turn."""
     return [RawClient(program, b"m%d" % number, ("note", "pay")[number % 2]) for number in range(count)]
 
 
 @contextlib.asynccontextmanager
-async def standing_still(program: Program) -> AsyncIterator[None]:
-    """The program does nothing meanwhile. The signal alone does not tell when it has stopped."""
+async def suspended(program: Program) -> AsyncIterator[None]:
+    """Suspend the program with SIGSTOP, and wait until it has stopped."""
     program.process.send_signal(signal.SIGSTOP)
     state = Path(f"/proc/{program.process.pid}/stat")
-    async with asyncio.timeout(STOPS_S):
+    async with asyncio.timeout(STOP_TIMEOUT_S):
         while state.read_text().rpartition(")")[2].split()[0] != "T":
             await asyncio.sleep(0.001)
     try:
@@ -161,38 +161,37 @@
         program.process.send_signal(signal.SIGCONT)
 
 
-async def are_known(clients: list[RawClient]) -> None:
-    """The program has taken their connections: what they send is read as it comes."""
+async def wait_until_accepted(clients: list[RawClient]) -> None:
+    """Wait until the program has accepted the connections, so that it reads input as it arrives."""
     for client in clients:
         client.sock.sendall(b"*1\r\n$4\r\nPING\r\n")
-        assert await client.hear() == b"+PONG\r\n"
-        client.heard = b""
+        assert await client.read_answer() == b"+PONG\r\n"
+        client.received = b""
 
 
-async def hand_in_together(program: Program, clients: list[RawClient], left_ms: int = 6000) -> None:
-    """All requests of clients that are known are read in the same step, since the program stands still until
-    they are there."""
-    async with standing_still(program):
+async def submit_together(program: Program, clients: list[RawClient], left_ms: int = 6000) -> None:
+    """Submit while the program is suspended, so that it reads all requests in one loop iteration."""
+    async with suspended(program):
         for client in clients:
-            client.hand_in(left_ms)
+            client.submit(left_ms)
 
 
-STOPS_AT_ANSWERS = """import socket
+STOP_AT_ANSWERS = """import socket
 
-plain = socket.socket.send
+original = socket.socket.send
 
 
 def stop(self):
-    with socket.create_connection(("127.0.0.1", {port})) as door:
-        door.sendall(b"%d " % self.getpeername()[1])
-        door.recv(1)
+    with socket.create_connection(("127.0.0.1", {port})) as breakpoint_:
+        breakpoint_.sendall(b"%d " % self.getpeername()[1])
+        breakpoint_.recv(1)
 
 
 def send(self, data, *flags):
     answer = bytes(data).startswith(b"+OK")
     if answer and "{moment}" == "before":
         stop(self)
-    sent = plain(self, data, *flags)
+    sent = original(self, data, *flags)
     if answer and "{moment}" == "behind":
         stop(self)
     return sent
@@ -202,14 +201,14 @@
 """
 
 
-class Door:
-    """Where the program stops in the system call of each `+OK`, before or behind it, until the client that it
-    is for has done its `act` there."""
+class AnswerBreakpoint:
+    """Stops the program right before or behind the system call that sends each `+OK`, until `action` has been
+    done for the client of that answer. `shim` is the module to load into the program."""
 
-    def __init__(self, moment: str, act: Callable[[RawClient], None]) -> None:
+    def __init__(self, moment: str, action: Callable[[RawClient], None]) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.shim = STOPS_AT_ANSWERS.format(port=self.listener.getsockname()[1], moment=moment)
-        self.act, self.acted = act, 0
+        self.shim = STOP_AT_ANSWERS.format(port=self.listener.getsockname()[1], moment=moment)
+        self.action, self.action_count = action, 0
         self.clients: dict[int, RawClient] = {}
         threading.Thread(target=self.serve, daemon=True).start()
 
@@ -217,17 +216,17 @@
         self.clients = {client.port: client for client in clients}
 
     def serve(self) -> None:
-        with contextlib.suppress(OSError):  # it is closed
+        with contextlib.suppress(OSError):  # closed
             while True:
-                door, _ = self.listener.accept()
-                with door:
-                    port = int(door.recv(16))
+                connection, _ = self.listener.accept()
+                with connection:
+                    port = int(connection.recv(16))
                     if port in self.clients:
-                        self.act(self.clients[port])
-                        self.acted += 1
-                    door.sendall(b"x")
+                        self.action(self.clients[port])
+                        self.action_count += 1
+                    connection.sendall(b"x")
 
-    def __enter__(self) -> Door:
+    def __enter__(self) -> AnswerBreakpoint:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -236,14 +235,14 @@
         self.listener.close()
 
 
-LONG_LOOK = """from rushhitch import connection
+LAST_BYTE_DELAY = """from rushhitch import connection
 
-connection.MIN_LAST_BYTE_DELAY_S = connection.MAX_LAST_BYTE_DELAY_S = {seconds}  # so long the last byte of each call is held back
+connection.MIN_LAST_BYTE_DELAY_S = connection.MAX_LAST_BYTE_DELAY_S = {seconds}
 """
 
 
 def ids_of(request: Request) -> list[bytes]:
-    """The messages in a call, single or several."""
+    """The ids of the messages in a call, be it for one message or a batch."""
     if request.target == "/receive":
         return [request.headers["x-correlation-id"].encode()]
     ids, rest = [], request.body
@@ -256,7 +255,7 @@
 
 
 class LateEndpoint:
-    """An endpoint that no new connection reaches until it `comes_up`: its queue is full."""
+    """An endpoint whose accept queue is full, so that no connection succeeds until `start_accepting`."""
 
     def __init__(self, host: str) -> None:
         self.listener = socket.socket()
@@ -272,7 +271,7 @@
             sock.connect(self.address)
         return sock
 
-    async def comes_up(self, peer: Peer) -> None:
+    async def start_accepting(self, peer: Peer) -> None:
         for sock in self.fillers:
             sock.close()
         peer.server = await asyncio.start_server(peer.serve, sock=self.listener)
@@ -280,7 +279,7 @@
 
 @dataclass
 class Call:
-    """A call as the endpoint had it; `at` is when its last byte had come."""
+    """A call as the endpoint received it; `at` is when its last byte was read."""
 
     ids: list[bytes]
     at: float
@@ -288,14 +287,14 @@
 
 
 class Endpoint:
-    """Answers each call by `answer` as it comes in, and keeps the calls and the notices to the platform."""
+    """Answers each call by `answer` and records the calls, and the notices sent to the platform."""
 
     def __init__(self, program: Program, answer: Callable[[Request], None] | None = None) -> None:
         self.program, self.answer = program, answer or self.deliver
         self.calls: list[Call] = []
         self.delivered: set[bytes] = set()
         self.notices: list[dict] = []
-        self.moved = asyncio.Event()
+        self.progress = asyncio.Event()
 
     async def __aenter__(self) -> Endpoint:
         self.tasks = [asyncio.create_task(self.take_calls()), asyncio.create_task(self.take_notices())]
@@ -306,7 +305,7 @@
             task.cancel()
         for task in self.tasks:
             with contextlib.suppress(asyncio.CancelledError):
-                await task  # what went wrong in it is the test's
+                await task  # raises its errors in the test
 
     def deliver(self, request: Request) -> None:
         ids = ids_of(request)
@@ -318,7 +317,7 @@
             request = await self.program.partner.next()
             self.calls.append(Call(ids_of(request), time.monotonic(), request.target))
             self.answer(request)
-            self.moved.set()
+            self.progress.set()
 
     async def take_notices(self) -> None:
         while True:
@@ -326,46 +325,51 @@
             if request.target == "/status":
                 request.answer(204)
                 self.notices += [json.loads(line) for line in request.body.splitlines()]
-                self.moved.set()
+                self.progress.set()
 
     def count(self) -> Counter[bytes]:
-        """The calls that held each message."""
+        """The number of calls that held each message."""
         return Counter(name for call in self.calls for name in call.ids)
 
-    def told(self) -> dict[bytes, list[str]]:
-        """The notices of each message."""
-        told: dict[bytes, list[str]] = {}
+    def notices_by_message(self) -> dict[bytes, list[str]]:
+        """The results in the notices of each message."""
+        results: dict[bytes, list[str]] = {}
         for notice in self.notices:
-            told.setdefault(notice["ref"].encode(), []).append(notice["result"])
-        return told
+            results.setdefault(notice["ref"].encode(), []).append(notice["result"])
+        return results
 
-    async def until(self, met: Callable[[], bool], seconds: float) -> bool:
-        """Whether that came to be in so long."""
+    async def wait_for(self, condition: Callable[[], bool], seconds: float) -> bool:
+        """Whether `condition` became true within `seconds`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                while not met():
-                    self.moved.clear()
-                    await self.moved.wait()
-        return met()
-
-    async def caught_up_at_leave(self, client: RawClient) -> None:
-        """All that had come as it left is among the calls, and is not counted as late."""
-        for _ in range(TURNS):
+                while not condition():
+                    self.progress.clear()
+                    await self.progress.wait()
+        return condition()
+
+    async def mark_disconnected(self, client: RawClient) -> None:
+        """Note the time of the disconnect once the calls that had arrived by then are recorded."""
+        for _ in range(LOOP_TURNS):
             await asyncio.sleep(0)
-        client.left_at = time.monotonic()
-
-    def late(self, clients: list[RawClient]) -> list[bytes]:
-        """Those that were in a call whose last byte came when their client had left, without its answer."""
-        left_at = {
-            name: client.left_at for client in clients if client.heard != TAKEN for name in client.names
+        client.disconnected_at = time.monotonic()
+
+    def sent_after_disconnect(self, clients: list[RawClient]) -> list[bytes]:
+        """Messages in a call completed after their client had disconnected without reading `+OK`."""
+        disconnected_at = {
+            name: client.disconnected_at
+            for client in clients
+            if client.received != ACCEPTED
+            for name in client.message_ids
         }
-        return [name for call in self.calls for name in call.ids if call.at > left_at.get(name, call.at)]
+        return [
+            name for call in self.calls for name in call.ids if call.at > disconnected_at.get(name, call.at)
+        ]
 
-    def endless(self, clients: list[RawClient]) -> list[bytes]:
-        """Those that heard `+OK` and have neither been delivered nor a notice."""
-        ended = self.delivered | self.told().keys()
-        return [client.name for client in clients if client.heard == TAKEN and client.name not in ended]
+    def unfinished(self, clients: list[RawClient]) -> list[bytes]:
+        """Messages whose client read `+OK` that have neither been delivered nor ended by a notice."""
+        ended = self.delivered | self.notices_by_message().keys()
+        return [client.name for client in clients if client.received == ACCEPTED and client.name not in ended]
 
-    async def rest(self, seconds: float = QUIET_S) -> None:
-        """Whatever still comes in that time is kept, too."""
+    async def settle(self, seconds: float = SETTLE_S) -> None:
+        """Wait for `seconds`, so that further calls and notices are recorded."""
         await asyncio.sleep(seconds)
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -1,43 +1,53 @@
-"""Answers of an endpoint that end a message: no further call, and an end that is told."""
+"""Endpoint answers that end a message: no further call, and exactly one notice."""
 
 import asyncio
 import itertools
 
 import pytest
 from doubles import run_with_program
-from leavers import TAKEN, Apart, Copying, Endpoint, RawClient, Roomy, are_known, hand_in_together, ids_of
+from leavers import (
+    ACCEPTED,
+    DuplicatingProgram,
+    Endpoint,
+    ManyMessagesProgram,
+    RawClient,
+    SeparateDestinationsProgram,
+    ids_of,
+    submit_together,
+    wait_until_accepted,
+)
 
 LEFT_MS = 4000
-READ_S = 0.02  # an answer that was written has been read by then
-ENDED_S = LEFT_MS / 1000.0 + 1.0  # by then each message has its end, however late
+RESPONSE_READ_S = 0.02  # for a response to be read
+ENDED_S = LEFT_MS / 1000.0 + 1.0  # each message has ended by then
 
 
-async def all_in_one_tick(program, clients):
-    """Each hands in its message while the process stands still, and hears that it is accepted."""
-    await are_known(clients)
-    await hand_in_together(program, clients, LEFT_MS)
+async def submit_all_at_once(program, clients):
+    """Submit all messages while the process is suspended, and read the acceptances."""
+    await wait_until_accepted(clients)
+    await submit_together(program, clients, LEFT_MS)
     for client in clients:
-        assert await client.hear() == TAKEN
+        assert await client.read_answer() == ACCEPTED
 
 
-def test_what_an_endpoint_calls_over_by_410_is_called_once(tmp_path):
-    # Guards against "whether it is over is known here, not there": called again until its time is up.
-    @run_with_program(Roomy(tmp_path))
+def test_a_message_answered_with_410_is_called_once(tmp_path):
+    # 410 must not be retried until the time of the message is up.
+    @run_with_program(ManyMessagesProgram(tmp_path))
     async def _(program):
         clients = [RawClient(program, name, name.decode()[:4].strip("-")) for name in (b"note", b"pay-")]
         async with Endpoint(program, lambda request: request.answer(410)) as endpoint:
-            await all_in_one_tick(program, clients)
-            await endpoint.until(lambda: len(endpoint.told()) == len(clients), ENDED_S)
-            await endpoint.rest()
+            await submit_all_at_once(program, clients)
+            await endpoint.wait_for(lambda: len(endpoint.notices_by_message()) == len(clients), ENDED_S)
+            await endpoint.settle()
             assert endpoint.count() == {b"note": 1, b"pay-": 1}
-            assert endpoint.told() == {b"note": ["bounced"], b"pay-": ["bounced"]}
+            assert endpoint.notices_by_message() == {b"note": ["bounced"], b"pay-": ["bounced"]}
 
 
-def test_what_a_batch_calls_expired_is_in_one_call_and_its_fellows_go_on(tmp_path):
-    # Guards against the same by `expired`, and against an end that takes its fellows along.
+def test_a_message_answered_expired_in_a_batch_is_called_once_and_the_others_continue(tmp_path):
+    # As above for `expired` in a batch, which must not end the other messages.
     first = {b"m0": b"accepted", b"m1": b"expired", b"m2": b"deferred", b"m3": b"expired"}
 
-    @run_with_program(Roomy(tmp_path, batch=4))
+    @run_with_program(ManyMessagesProgram(tmp_path, batch=4))
     async def _(program):
         batches = []
 
@@ -54,25 +64,25 @@
             for name, cls in zip(first, ("note", "note", "note", "pay"), strict=True)
         ]
         async with Endpoint(program, answer) as endpoint:
-            await all_in_one_tick(program, clients)
-            await endpoint.until(lambda: {b"m1", b"m3"} <= endpoint.told().keys(), ENDED_S)
-            await endpoint.until(lambda: endpoint.count()[b"m2"] == 2, ENDED_S)
-            await endpoint.rest()
+            await submit_all_at_once(program, clients)
+            await endpoint.wait_for(lambda: {b"m1", b"m3"} <= endpoint.notices_by_message().keys(), ENDED_S)
+            await endpoint.wait_for(lambda: endpoint.count()[b"m2"] == 2, ENDED_S)
+            await endpoint.settle()
             assert batches[0] == set(first)
             assert endpoint.count() == {b"m0": 1, b"m1": 1, b"m2": 2, b"m3": 1}
-            assert endpoint.told() == {b"m1": ["bounced"], b"m3": ["bounced"]}
+            assert endpoint.notices_by_message() == {b"m1": ["bounced"], b"m3": ["bounced"]}
 
 
-# Each answer alone: an endpoint that gives no other
+# Endpoints that always give the same answer
 
 
-def both(program):
+def one_of_each_class(program):
     """One message of each class."""
     return [RawClient(program, cls.encode(), cls) for cls in ("note", "pay")]
 
 
 def answering(status, batch_end=b"", **headers):
-    """An answer to each call: that status, or for several messages that end of each."""
+    """Answer each call with `status`, or a batch with `batch_end` for each message."""
 
     def answer(request):
         if batch_end and request.target == "/receive-many":
@@ -83,12 +93,12 @@
     return answer
 
 
-async def all_end(endpoint, count_of):
-    """Until so many have their notice, and a while longer: the calls and the notice of each."""
-    await endpoint.until(lambda: len(endpoint.told()) == count_of, ENDED_S)
-    await endpoint.rest()
-    assert all(len(results) == 1 for results in endpoint.told().values()), "told more than once"
-    return endpoint.count(), {name: results[0] for name, results in endpoint.told().items()}
+async def wait_for_ends(endpoint, count_of):
+    """Wait for the notices of `count_of` messages, and `SETTLE_S` more; returns calls and results."""
+    await endpoint.wait_for(lambda: len(endpoint.notices_by_message()) == count_of, ENDED_S)
+    await endpoint.settle()
+    assert all(len(results) == 1 for results in endpoint.notices_by_message().values()), "told more than once"
+    return endpoint.count(), {name: results[0] for name, results in endpoint.notices_by_message().items()}
 
 
 @pytest.mark.parametrize(
@@ -102,21 +112,21 @@
         pytest.param(4, answering(504, b"no_more"), id="no_more"),
     ],
 )
-def test_an_answer_that_no_further_call_can_better_is_the_last(tmp_path, batch, answer):
-    # Guards against retries of what is over (410, expired) or has had all its attempts (504, no_more).
-    @run_with_program(Roomy(tmp_path, batch))
+def test_no_call_follows_a_final_answer(tmp_path, batch, answer):
+    # No retries of what is over (410, expired) or has used all its attempts (504, no_more).
+    @run_with_program(ManyMessagesProgram(tmp_path, batch))
     async def _(program):
         async with Endpoint(program, answer) as endpoint:
-            await all_in_one_tick(program, both(program))
-            count, told = await all_end(endpoint, count_of=2)
+            await submit_all_at_once(program, one_of_each_class(program))
+            count, told = await wait_for_ends(endpoint, count_of=2)
             assert count == {b"note": 1, b"pay": 1}
             assert told.keys() == {b"note", b"pay"}
 
 
 @pytest.mark.parametrize("status", [400, 413])
-def test_a_batch_that_is_not_taken_has_not_run_and_is_tried_again(tmp_path, status):
-    # Guards against an unsafe message that is given up as "may have run" though its call was not taken.
-    @run_with_program(Roomy(tmp_path, batch=4))
+def test_a_rejected_batch_has_not_run_and_is_retried(tmp_path, status):
+    # An unsafe message must not fail as "may have run" if its call was rejected.
+    @run_with_program(ManyMessagesProgram(tmp_path, batch=4))
     async def _(program):
         def answer(request):
             if len(ids_of(request)) > 1 and len(endpoint.calls) == 1:
@@ -125,18 +135,18 @@
                 endpoint.deliver(request)
 
         async with Endpoint(program, answer) as endpoint:
-            clients = both(program)
-            await all_in_one_tick(program, clients)
-            await endpoint.until(lambda: len(endpoint.delivered) == len(clients), ENDED_S)
-            await endpoint.rest()
+            clients = one_of_each_class(program)
+            await submit_all_at_once(program, clients)
+            await endpoint.wait_for(lambda: len(endpoint.delivered) == len(clients), ENDED_S)
+            await endpoint.settle()
             assert endpoint.count() == {b"note": 2, b"pay": 2}
-            assert not endpoint.told()
+            assert not endpoint.notices_by_message()
 
 
 @pytest.mark.parametrize("status", [400, 413])
-def test_an_endpoint_that_takes_no_batch_at_all_still_has_its_messages_tried_and_ended(tmp_path, status):
-    # Guards against "may have run" by an endpoint that answers each batch so: none of it ran, ever.
-    @run_with_program(Roomy(tmp_path, batch=4))
+def test_messages_to_an_endpoint_that_rejects_every_batch_are_retried_and_reach_an_end(tmp_path, status):
+    # As above for an endpoint that rejects every batch: no message ever ran.
+    @run_with_program(ManyMessagesProgram(tmp_path, batch=4))
     async def _(program):
         def answer(request):
             if len(ids_of(request)) > 1:
@@ -145,14 +155,16 @@
                 endpoint.deliver(request)
 
         async with Endpoint(program, answer) as endpoint:
-            await all_in_one_tick(program, both(program))
-            await endpoint.until(lambda: len(endpoint.delivered | endpoint.told().keys()) == 2, ENDED_S)
-            await endpoint.rest()
-            assert endpoint.delivered | endpoint.told().keys() == {b"note", b"pay"}
+            await submit_all_at_once(program, one_of_each_class(program))
+            await endpoint.wait_for(
+                lambda: len(endpoint.delivered | endpoint.notices_by_message().keys()) == 2, ENDED_S
+            )
+            await endpoint.settle()
+            assert endpoint.delivered | endpoint.notices_by_message().keys() == {b"note", b"pay"}
             assert endpoint.count()[b"pay"] > 1
 
 
-def apart(program):
+def one_for_each_destination(program):
     """One message of each class, each to its own endpoint."""
     return [RawClient(program, cls.encode(), cls, dest) for cls, dest in program.DESTINATIONS.items()]
 
@@ -165,13 +177,13 @@
         pytest.param(answering(503), 0.0, id="503"),
     ],
 )
-def test_what_was_turned_away_never_ran_and_is_tried_again(tmp_path, answer, wait_s):
-    # Guards against an unsafe message that is given up though no call of it was taken, and a wait not kept.
-    @run_with_program(Apart(tmp_path))
+def test_rejected_calls_have_not_run_and_are_retried(tmp_path, answer, wait_s):
+    # An unsafe message must be retried while all its calls are rejected, and the requested wait be observed.
+    @run_with_program(SeparateDestinationsProgram(tmp_path))
     async def _(program):
         async with Endpoint(program, answer) as endpoint:
-            await all_in_one_tick(program, apart(program))
-            count, told = await all_end(endpoint, count_of=2)
+            await submit_all_at_once(program, one_for_each_destination(program))
+            count, told = await wait_for_ends(endpoint, count_of=2)
             assert count[b"note"] > 1 and count[b"pay"] > 1
             assert told.keys() == {b"note", b"pay"}
             for name in told:
@@ -180,23 +192,23 @@
 
 
 @pytest.mark.parametrize("status", [500, 204, 302, 404, 418, 599])
-def test_what_may_have_run_is_called_once_where_it_may_not_be_repeated(tmp_path, status):
-    # Guards against a status on no row of the page that is taken for "never ran".
-    @run_with_program(Apart(tmp_path))
+def test_an_unsafe_message_that_may_have_run_is_called_once(tmp_path, status):
+    # A status that the protocol does not list must not count as "never ran".
+    @run_with_program(SeparateDestinationsProgram(tmp_path))
     async def _(program):
         async with Endpoint(program, answering(status)) as endpoint:
-            await all_in_one_tick(program, apart(program))
-            count, told = await all_end(endpoint, count_of=2)
+            await submit_all_at_once(program, one_for_each_destination(program))
+            count, told = await wait_for_ends(endpoint, count_of=2)
             assert count[b"note"] > 1 and count[b"pay"] == 1
             assert told == {b"note": "dead", b"pay": "dead"}
 
 
-# Among other copies, and over a kill
+# Beside other attempts, and with a kill of the process
 
 
-def test_an_earlier_copy_that_may_have_run_makes_410_an_end_as_failed(tmp_path):
-    # Guards against "never ran" told of a message by the answer to one of its calls: the one before was cut.
-    @run_with_program(Roomy(tmp_path))
+def test_410_after_an_attempt_that_may_have_run_ends_the_message_as_failed(tmp_path):
+    # 410 to one call does not mean that the message never ran: an earlier call was cut off.
+    @run_with_program(ManyMessagesProgram(tmp_path))
     async def _(program):
         def answer(request):
             if len(endpoint.calls) == 1:
@@ -205,17 +217,17 @@
                 request.answer(410)
 
         async with Endpoint(program, answer) as endpoint:
-            await all_in_one_tick(program, [RawClient(program, b"note")])
-            await endpoint.until(lambda: endpoint.told(), ENDED_S)
-            await endpoint.rest()
+            await submit_all_at_once(program, [RawClient(program, b"note")])
+            await endpoint.wait_for(lambda: endpoint.notices_by_message(), ENDED_S)
+            await endpoint.settle()
             assert endpoint.count() == {b"note": 2}
-            assert endpoint.told() == {b"note": ["dead"]}
+            assert endpoint.notices_by_message() == {b"note": ["dead"]}
 
 
 @pytest.mark.parametrize("outcome", [200, 500])
-def test_410_while_another_copy_is_out_is_the_last_call(tmp_path, outcome):
-    # Guards against a further copy, and against "never ran" told while one may be running.
-    @run_with_program(Copying(tmp_path))
+def test_no_call_follows_410_while_another_attempt_is_open(tmp_path, outcome):
+    # Neither a further attempt, nor "never ran" while another attempt may be running.
+    @run_with_program(DuplicatingProgram(tmp_path))
     async def _(program):
         out = []
 
@@ -228,45 +240,45 @@
                 request.answer(410)
 
         async with Endpoint(program, answer) as endpoint:
-            await all_in_one_tick(program, [RawClient(program, b"note")])
-            assert await endpoint.until(lambda: len(endpoint.calls) == 3, ENDED_S), "two copies at once"
-            await endpoint.rest()
+            await submit_all_at_once(program, [RawClient(program, b"note")])
+            assert await endpoint.wait_for(lambda: len(endpoint.calls) == 3, ENDED_S), "two copies at once"
+            await endpoint.settle()
             out[0].answer(outcome)
-            await endpoint.rest()
+            await endpoint.settle()
             assert endpoint.count() == {b"note": 3}
-            assert endpoint.told().get(b"note", ["dead"]) == ["dead"]
-            assert outcome == 200 or endpoint.told()
+            assert endpoint.notices_by_message().get(b"note", ["dead"]) == ["dead"]
+            assert outcome == 200 or endpoint.notices_by_message()
 
 
-def test_410_while_the_copy_of_an_earlier_process_may_run_is_the_last_call(tmp_path):
-    # Guards against the same where the other copy is out: a kill left it at the endpoint.
-    @run_with_program(Roomy(tmp_path))
+def test_no_call_follows_410_while_an_attempt_of_an_earlier_process_may_run(tmp_path):
+    # As above where the other attempt was started by a process that was killed.
+    @run_with_program(ManyMessagesProgram(tmp_path))
     async def _(program):
         async with Endpoint(program, lambda request: None) as endpoint:
-            await all_in_one_tick(program, [RawClient(program, b"note")])
-            assert await endpoint.until(lambda: endpoint.calls, ENDED_S)
+            await submit_all_at_once(program, [RawClient(program, b"note")])
+            assert await endpoint.wait_for(lambda: endpoint.calls, ENDED_S)
             await program.kill()
             endpoint.answer = answering(410)
             await program.start()
-            await endpoint.until(lambda: endpoint.told(), ENDED_S)
-            await endpoint.rest()
+            await endpoint.wait_for(lambda: endpoint.notices_by_message(), ENDED_S)
+            await endpoint.settle()
             assert endpoint.count() == {b"note": 2}
-            assert endpoint.told() == {b"note": ["dead"]}
+            assert endpoint.notices_by_message() == {b"note": ["dead"]}
 
 
-def test_what_410_ended_is_not_called_by_the_process_after_a_kill(tmp_path):
-    # Guards against an end that is told and not written down; the platform has no time for it just then.
-    @run_with_program(Roomy(tmp_path))
+def test_a_message_ended_by_410_is_not_called_after_a_kill(tmp_path):
+    # The end must be journaled: the platform has not acknowledged the notice when the process is killed.
+    @run_with_program(ManyMessagesProgram(tmp_path))
     async def _(program):
         async with Endpoint(program, answering(410)) as endpoint:
-            clients = both(program)
-            await all_in_one_tick(program, clients)
-            assert await endpoint.until(lambda: len(endpoint.count()) == len(clients), ENDED_S)
-            await asyncio.sleep(READ_S)
+            clients = one_of_each_class(program)
+            await submit_all_at_once(program, clients)
+            assert await endpoint.wait_for(lambda: len(endpoint.count()) == len(clients), ENDED_S)
+            await asyncio.sleep(RESPONSE_READ_S)
             program.process.kill()
             await program.process.wait()
             await program.start()
-            await endpoint.until(lambda: len(endpoint.told()) == len(clients), ENDED_S)
-            await endpoint.rest()
+            await endpoint.wait_for(lambda: len(endpoint.notices_by_message()) == len(clients), ENDED_S)
+            await endpoint.settle()
             assert endpoint.count() == {b"note": 1, b"pay": 1}
-            assert endpoint.told().keys() == {b"note", b"pay"}
+            assert endpoint.notices_by_message().keys() == {b"note", b"pay"}
