--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -217,7 +217,7 @@
             raise BadRequest(f"unknown destination {offer.destination}")
         if held := self.by_id.get(offer.id):
             if held.answer is not None:
-                raise Pending("a message with this id is being accepted")
+                raise Pending("the id is that of a message which is being taken on")
             if send_acceptance(answer):  # a duplicate of an accepted message
                 held.informed_clients += 1
             if ended is not None:
