--- a/rushhitch/discovery.py
+++ b/rushhitch/discovery.py
@@ -145,9 +145,8 @@
                 OVERLOAD_BACKOFF_S,
                 min(OVERLOAD_BACKOFF_S + OVERLOAD_BACKOFF_STEP_S * backoff_steps, MAX_OVERLOAD_BACKOFF_S),
             )
-        self.spread_out = (
-            self.spread_out and self.queued_refusals > 1
-        )  # the first one draws: calls were spread over half of this time
+        # The first one draws, since calls were spread over only half of this time.
+        self.spread_out = self.spread_out and self.queued_refusals > 1
         return self.spread_delay(waited_s, CROWDED_PERIOD_S)
 
 
@@ -158,9 +157,8 @@
 class JsonFramer:
     """Splits a watch's bytes into JSON objects, each on one line or several, and empty lines between them."""
 
-    MARKS = re.compile(
-        rb'[{}\n]|"(?:[^"\\]|\\.)*"|"', re.DOTALL
-    )  # strings as a whole, since they may contain braces
+    # Strings are matched as a whole, since they may contain braces.
+    MARKS = re.compile(rb'[{}\n]|"(?:[^"\\]|\\.)*"|"', re.DOTALL)
 
     def __init__(self) -> None:
         self.buffer = b""  # an incomplete object
--- a/rushhitch/fronts/client_connection.py
+++ b/rushhitch/fronts/client_connection.py
@@ -110,7 +110,7 @@
         self.write_failed = False
         self.half_closed = False  # by the client, and nothing was written since
 
-    def error(self, text: str, fault: ErrorReason) -> bytes:
+    def error(self, text: str, reason: ErrorReason) -> bytes:
         """The front's error answer, after which the connection is closed."""
         raise NotImplementedError
 
@@ -319,7 +319,7 @@
         self.check_client()
         self.close(CloseReason.ENDED)  # once its answers are written
 
-    def refuse(self, text: str, fault: ErrorReason) -> None:
+    def refuse(self, text: str, reason: ErrorReason) -> None:
         """Send an error after the answers that are due, and close."""
         self.answer_unserved()
         slot = ResponseSlot()
@@ -327,7 +327,7 @@
         self.ignores_input = self.draining = True
         self.close_reason = CloseReason.REFUSED
         self.update_reading()
-        self.reply(slot, self.error(text, fault))
+        self.reply(slot, self.error(text, reason))
 
     def has_unread_input(self) -> bool:
         """Whether the socket has input (or an end of input) that was not read."""
--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -213,8 +213,8 @@
         self.request_events: RequestEvents | None = None
         self.input_ended = False
 
-    def error(self, text: str, fault: ErrorReason) -> bytes:
-        return self.response(EventResult.problem(ERROR_STATUS[fault], text), close=True)
+    def error(self, text: str, reason: ErrorReason) -> bytes:
+        return self.response(EventResult.problem(ERROR_STATUS[reason], text), close=True)
 
     def connection_lost(self, error: Exception | None) -> None:
         if self.request_events is not None and not self.request_events.finished:
--- a/rushhitch/fronts/resp2.py
+++ b/rushhitch/fronts/resp2.py
@@ -134,8 +134,8 @@
         self.framing, self.reader = Framing(), hiredis.Reader(notEnoughData=INCOMPLETE)
         self.tail = bytearray()  # the request received in part
 
-    def error(self, text: str, fault: ErrorReason) -> bytes:
-        return self.refusal() if fault is ErrorReason.SHUTDOWN else error_line(text)
+    def error(self, text: str, reason: ErrorReason) -> bytes:
+        return self.refusal() if reason is ErrorReason.SHUTDOWN else error_line(text)
 
     def refusal(self) -> bytes:
         return answer_line(REFUSED)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -20,8 +20,8 @@
 NOW = 100.0
 
 
-def activity(waited=1.0, still=1.0, **told):
-    return ConnectionActivity(NOW - waited, NOW - waited, NOW - still, **told)
+def activity(waited=1.0, since_last_byte=1.0, **fields):
+    return ConnectionActivity(NOW - waited, NOW - waited, NOW - since_last_byte, **fields)
 
 
 def test_new_connections_are_evicted_first_then_stalled_ones_then_served_ones():
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, overdue",
+    "connection, overdue",
     [
         (activity(1.9), False),
         (activity(2.1, 2.1), True),  # silent
@@ -56,8 +56,8 @@
         (ConnectionActivity(NOW - 2.75, NOW - 1.0, NOW - 0.1, size=5, asked=True), False),
     ],
 )
-def test_request_time_limits(told, overdue):
-    assert told.overdue(NOW) is overdue
+def test_request_time_limits(connection, overdue):
+    assert connection.overdue(NOW) is overdue
 
 
 activities = st.builds(
@@ -75,10 +75,10 @@
 def test_connections_with_open_requests_or_sending_are_not_evicted_and_none_twice(crowd):
     found = eviction_order(enumerate(crowd), NOW)
     assert len(set(found)) == len(found)
-    for number, told in enumerate(crowd):
-        protected = told.awaiting_answer or (told.size > 0 and not told.stalled(NOW))
+    for number, connection in enumerate(crowd):
+        protected = connection.awaiting_answer or (connection.size > 0 and not connection.stalled(NOW))
         assert not (protected and number in found)
-        assert told.awaiting_answer or told.size or number in found
+        assert connection.awaiting_answer or connection.size or number in found
 
 
 def test_one_choice_of_candidates_serves_for_many_new_connections(monkeypatch):
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize(
     "wave, rest, halves, least",
     [(40, 0.5, True, 80), (100, 0.02, False, 10_000)],
-    ids=["half a message", "ten thousand that say nothing"],
+    ids=["half a message", "ten thousand silent clients"],
 )
 def test_slow_writers_are_served_beside_many_clients_that_never_finish_a_message(
     wave, rest, halves, least, monkeypatch
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -160,8 +160,8 @@
                 for client in clients:
                     client.submit()
                     client.half_close()
-            heard = [await client.read_answer() for client in clients]
-            assert all(answer.startswith((b"+OK", b"-BUSY")) for answer in heard)
+            answers = [await client.read_answer() for client in clients]
+            assert all(answer.startswith((b"+OK", b"-BUSY")) for answer in answers)
             taken = {client.name for client in clients if client.received == ACCEPTED}
             await endpoint.wait_for(lambda: taken <= endpoint.delivered, SERVED_S)
             served = await check_others_served(program, endpoint)
@@ -196,7 +196,7 @@
 
 @pytest.mark.parametrize("moment", ["before", "behind"])
 def test_a_client_that_half_closes_in_the_iteration_of_its_answer_is_served(tmp_path, monkeypatch, moment):
-    # Guards against a half-close taken for a leave: it reads its `+OK` a moment later.
+    # A half-close is no disconnect: the client reads its `+OK` a moment later.
     with AnswerBreakpoint(moment, lambda client: client.half_close()) as breakpoint_at_answer:
         with_shim(tmp_path, monkeypatch, breakpoint_at_answer.shim)
 
@@ -350,7 +350,7 @@
 
 
 def test_a_client_that_half_closes_1_ms_after_its_answer_is_served(tmp_path):
-    # Guards against a half-close taken for a leave: it reads its `+OK` a moment later.
+    # A half-close is no disconnect: the client reads its `+OK` a moment later.
     @run_with_program(ManyMessagesProgram(tmp_path))
     async def _(program):
         async with Endpoint(program) as endpoint:
@@ -558,8 +558,10 @@
                 answer_with(request, request.headers["x-correlation-id"])
             await endpoint.settle()
             assert endpoint.count() == {client.name: 1 for client in clients}
-            told = endpoint.notices_by_message()
-            assert [told.get(outcome.encode(), []) for outcome in outcomes] == [OUTCOMES[o] for o in outcomes]
+            notices = endpoint.notices_by_message()
+            assert [notices.get(outcome.encode(), []) for outcome in outcomes] == [
+                OUTCOMES[o] for o in outcomes
+            ]
 
 
 def test_the_answer_to_a_batch_ends_only_the_messages_of_disconnected_clients(tmp_path):
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -97,7 +97,9 @@
     """Wait for the notices of `count_of` messages, and `SETTLE_S` more; returns calls and results."""
     await endpoint.wait_for(lambda: len(endpoint.notices_by_message()) == count_of, ENDED_S)
     await endpoint.settle()
-    assert all(len(results) == 1 for results in endpoint.notices_by_message().values()), "told more than once"
+    assert all(len(results) == 1 for results in endpoint.notices_by_message().values()), (
+        "more than one notice"
+    )
     return endpoint.count(), {name: results[0] for name, results in endpoint.notices_by_message().items()}
 
 
@@ -118,9 +120,9 @@
     async def _(program):
         async with Endpoint(program, answer) as endpoint:
             await submit_all_at_once(program, one_of_each_class(program))
-            count, told = await wait_for_ends(endpoint, count_of=2)
+            count, results = await wait_for_ends(endpoint, count_of=2)
             assert count == {b"note": 1, b"pay": 1}
-            assert told.keys() == {b"note", b"pay"}
+            assert results.keys() == {b"note", b"pay"}
 
 
 @pytest.mark.parametrize("status", [400, 413])
@@ -183,10 +185,10 @@
     async def _(program):
         async with Endpoint(program, answer) as endpoint:
             await submit_all_at_once(program, one_for_each_destination(program))
-            count, told = await wait_for_ends(endpoint, count_of=2)
+            count, results = await wait_for_ends(endpoint, count_of=2)
             assert count[b"note"] > 1 and count[b"pay"] > 1
-            assert told.keys() == {b"note", b"pay"}
-            for name in told:
+            assert results.keys() == {b"note", b"pay"}
+            for name in results:
                 at = [call.at for call in endpoint.calls if name in call.ids]
                 assert all(later - earlier >= wait_s for earlier, later in itertools.pairwise(at))
 
@@ -198,9 +200,9 @@
     async def _(program):
         async with Endpoint(program, answering(status)) as endpoint:
             await submit_all_at_once(program, one_for_each_destination(program))
-            count, told = await wait_for_ends(endpoint, count_of=2)
+            count, results = await wait_for_ends(endpoint, count_of=2)
             assert count[b"note"] > 1 and count[b"pay"] == 1
-            assert told == {b"note": "dead", b"pay": "dead"}
+            assert results == {b"note": "dead", b"pay": "dead"}
 
 
 # Beside other attempts, and with a kill of the process
--- a/tests/test_fronts_cloudevents.py
+++ b/tests/test_fronts_cloudevents.py
@@ -54,8 +54,8 @@
         self.writer.write(head.encode("latin-1") + body)
 
     def binary(self, body=b"hello", more=None, **changes):
-        told = {f"ce-{name}": value for name, value in (EVENT | changes).items() if value is not None}
-        self.send(told | (more or {}), body)
+        headers = {f"ce-{name}": value for name, value in (EVENT | changes).items() if value is not None}
+        self.send(headers | (more or {}), body)
 
     def structured(self, more=None, **changes):
         self.send({"Content-Type": STRUCTURED} | (more or {}), json.dumps(EVENT | changes).encode())
@@ -76,10 +76,10 @@
         return await self.reader.read() == b""
 
 
-def with_front(folder, **told):
+def with_front(folder, **options):
     def decorate(test):
         async def work():
-            front = await Front().start(folder, **told)
+            front = await Front().start(folder, **options)
             try:
                 await test(front)
             finally:
@@ -96,8 +96,8 @@
     async def _(front):
         client = await front.connect()
         client.binary(b"hello")
-        status, _, told = await client.answer()
-        assert status == 202 and told == {"source": "/books", "id": "1", "state": "taken"}
+        status, _, answer_body = await client.answer()
+        assert status == 202 and answer_body == {"source": "/books", "id": "1", "state": "taken"}
         request = await front.partner.next()
         assert request.body == b"hello"
         client.structured(id="2", data={"a": 1})  # on the same connection
@@ -128,8 +128,8 @@
         (await front.partner.next()).answer(200)
         await front.node.idle.wait()
         client.binary(type="com.example.pay")
-        status, _, told = await client.answer()
-        assert status == 200 and told["state"] == "delivered"
+        status, _, answer_body = await client.answer()
+        assert status == 200 and answer_body["state"] == "delivered"
         assert not front.node.by_id and front.partner.requests.empty()
 
 
@@ -156,8 +156,8 @@
         client = await front.connect()
         client.binary(more={"Prefer": "wait=30"}, type=f"com.example.{cls}")
         (await front.partner.next()).answer(answer)
-        told_status, headers, told = await client.answer()
-        assert (told_status, told["state"]) == (status, state)
+        answer_status, headers, answer_body = await client.answer()
+        assert (answer_status, answer_body["state"]) == (status, state)
         assert headers["preference-applied"] == "wait=30"
 
 
@@ -166,8 +166,8 @@
     async def _(front):
         client = await front.connect()
         client.binary(more={"Prefer": "respond-async, wait=1"})
-        status, _, told = await client.answer()
-        assert status == 202 and told["state"] == "taken"
+        status, _, answer_body = await client.answer()
+        assert status == 202 and answer_body["state"] == "taken"
         (await front.partner.next()).answer(200)
         await front.node.idle.wait()
 
@@ -179,8 +179,8 @@
         front.node.by_id.update({b"%d" % n: None for n in range(most)})
         client = await front.connect()
         client.binary()
-        status, headers, told = await client.answer()
-        assert status == 503 and headers["retry-after"] == "1" and told["state"] == "refused"
+        status, headers, answer_body = await client.answer()
+        assert status == 503 and headers["retry-after"] == "1" and answer_body["state"] == "refused"
         assert headers["content-type"] == "application/problem+json"
         front.node.by_id.clear()
         client.binary()
@@ -193,9 +193,9 @@
         client = await front.connect()
         bad = EVENT | {"id": "2", "specversion": "9"}
         client.batch([EVENT, bad, EVENT | {"data": "again"}, EVENT | {"id": "3", "type": "com.example.x"}])
-        status, _, told = await client.answer()
-        assert status == 207 and [row["status"] for row in told] == [202, 400, 202, 400]
-        assert told[1]["attribute"] == "specversion" and told[3]["attribute"] == "type"
+        status, _, answer_body = await client.answer()
+        assert status == 207 and [row["status"] for row in answer_body] == [202, 400, 202, 400]
+        assert answer_body[1]["attribute"] == "specversion" and answer_body[3]["attribute"] == "type"
         assert len(front.node.by_id) == 1
         client.batch([])
         assert (await client.answer())[2] == []
@@ -210,9 +210,9 @@
             request = await front.partner.next()
             paid = int(request.headers["x-time-left-ms"]) > 6000  # payments have more time
             request.answer(500 if paid else 200)
-        status, _, told = await client.answer()
-        assert status == 207 and [row["status"] for row in told] == [200, 200, 502]
-        assert told[0] == told[1] and told[2]["state"] == "failed"
+        status, _, answer_body = await client.answer()
+        assert status == 207 and [row["status"] for row in answer_body] == [200, 200, 502]
+        assert answer_body[0] == answer_body[1] and answer_body[2]["state"] == "failed"
 
 
 @pytest.mark.parametrize(
@@ -231,8 +231,8 @@
     async def _(front):
         client = await front.connect()
         client.binary(**changes)
-        status, headers, told = await client.answer()
-        assert status == 400 and told["attribute"] == attribute and told["status"] == 400
+        status, headers, answer_body = await client.answer()
+        assert status == 400 and answer_body["attribute"] == attribute and answer_body["status"] == 400
         assert headers["content-type"] == "application/problem+json"
         client.binary()
         assert (await client.answer())[0] == 202
@@ -243,8 +243,8 @@
     async def _(front):
         client = await front.connect()
         client.binary(subject="8")
-        status, _, told = await client.answer()
-        assert status == 400 and told["detail"] == "unknown destination 8"
+        status, _, answer_body = await client.answer()
+        assert status == 400 and answer_body["detail"] == "unknown destination 8"
 
 
 def test_a_malformed_event_does_not_affect_a_valid_one(tmp_path):
@@ -255,9 +255,9 @@
         client.binary(**{"id": "bad%zz"})
         client.structured(id="good", data="x")
         other.structured(id="better", data="x")
-        told = [await client.answer(), await client.answer(), await other.answer()]
-        assert [status for status, _, _ in told] == [400, 202, 202]
-        assert told[0][2]["attribute"] == "id"
+        answers = [await client.answer(), await client.answer(), await other.answer()]
+        assert [status for status, _, _ in answers] == [400, 202, 202]
+        assert answers[0][2]["attribute"] == "id"
 
 
 @pytest.mark.parametrize(
@@ -280,8 +280,8 @@
     async def _(front):
         client, good = await front.connect(), await front.connect()
         client.writer.write(data)
-        told, headers, problem = await client.answer()
-        assert told == status and headers["connection"] == "close" and problem["detail"]
+        answer_status, headers, problem = await client.answer()
+        assert answer_status == status and headers["connection"] == "close" and problem["detail"]
         assert await client.closed()
         good.binary()
         assert (await good.answer())[0] == 202
@@ -347,8 +347,8 @@
             assert request.body == body
             request.answer(200)
         client.structured(id="9", datacontenttype="text/plain", data={"a": 1})
-        status, _, told = await client.answer()
-        assert status == 400 and told["attribute"] == "data"
+        status, _, answer_body = await client.answer()
+        assert status == 400 and answer_body["attribute"] == "data"
 
 
 def test_a_client_that_waits_over_a_restart_gets_the_outcome_when_it_posts_again(tmp_path):
@@ -372,8 +372,12 @@
         client = await front.connect()
         client.binary(more={"Prefer": "wait=30"})
         (await front.partner.next()).answer(200)
-        status, headers, told = await client.answer()
-        assert status == 200 and told["state"] == "delivered" and headers["preference-applied"] == "wait=30"
+        status, headers, answer_body = await client.answer()
+        assert (
+            status == 200
+            and answer_body["state"] == "delivered"
+            and headers["preference-applied"] == "wait=30"
+        )
 
 
 def test_an_endless_body_is_rejected(tmp_path):
@@ -419,8 +423,8 @@
     async def _(front):
         client = await front.connect()
         client.binary(bytes(65_537))
-        status, _, told = await client.answer()
-        assert status == 413 and told["attribute"] == "data"
+        status, _, answer_body = await client.answer()
+        assert status == 413 and answer_body["attribute"] == "data"
         client.binary(bytes(65_536))
         assert (await client.answer())[0] == 202
 
@@ -538,8 +542,8 @@
                 front.node.notice_heard(number)
             client = await front.connect()
             client.binary(type="com.example.pay")
-            status, _, told = await client.answer()
-            assert (status, told["state"]) == (502, "failed")
+            status, _, answer_body = await client.answer()
+            assert (status, answer_body["state"]) == (502, "failed")
             assert front.partner.requests.empty() and front.core.ends.empty()
 
 
@@ -556,8 +560,8 @@
     async def _(front):
         client = await front.connect()
         client.binary(type="com.example.pay")
-        status, _, told = await client.answer()
-        assert (status, told["state"]) == (200, "delivered")
+        status, _, answer_body = await client.answer()
+        assert (status, answer_body["state"]) == (200, "delivered")
         assert front.partner.requests.empty() and front.core.ends.empty()
 
 
@@ -573,8 +577,8 @@
 
     init = Node.__init__
 
-    def long_after(self, *told):
-        init(self, *told, keep_s=-100.0)  # as if it had ended long ago
+    def long_after(self, *args):
+        init(self, *args, keep_s=-100.0)  # as if it had ended long ago
 
     monkeypatch.setattr(Node, "__init__", long_after)
 
--- a/tests/test_fronts_resp2.py
+++ b/tests/test_fronts_resp2.py
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "says"),
+    ("words", "expected_text"),
     [
         ([b"SET", b"a", b"b"], b"SET"),
         ([b"OUT.ADD", b"0"], b"words"),
@@ -175,12 +175,12 @@
         ([b"OUT.ADD", b"0", b"m1", b"c=note,d=1,dest=1", bytes(MAX_BODY_BYTES + 1)], b"65536"),
     ],
 )
-def test_an_invalid_request_gets_an_error_and_the_next_is_served(words, says):
+def test_an_invalid_request_gets_an_error_and_the_next_is_served(words, expected_text):
     @with_server()
     async def _(server, acceptor):
         client = await connect(server)
         line = await client.ask(*words)
-        assert line.startswith(b"-ERR ") and says in line
+        assert line.startswith(b"-ERR ") and expected_text in line
         assert await client.ask(b"PING") == b"+PONG\r\n"
         assert acceptor.offers.empty()
 
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -80,8 +80,8 @@
         case "refuse":
             request.answer(429 if events else 503)
         case "wait":
-            told = {"Retry_After": "1"} if events else {"X_Come_Back_Ms": "1000"}
-            request.answer(503 if events else 429, **told)
+            headers = {"Retry_After": "1"} if events else {"X_Come_Back_Ms": "1000"}
+            request.answer(503 if events else 429, **headers)
         case "error":
             request.answer(500)
         case "reset":
@@ -147,8 +147,8 @@
     """The message identity as seen by the partner, and the data."""
     if speaks == "platform":
         return request.headers["x-correlation-id"], request.body
-    told, (event,) = decode(list(request.headers.items()), request.body)
-    assert told == speaks
+    mode, (event,) = decode(list(request.headers.items()), request.body)
+    assert mode == speaks
     return event.identity, event.data
 
 
@@ -165,9 +165,9 @@
         end, seen = await play(tmp_path / "n", way, speaks, cls, script, monkeypatch)
         FOUND.setdefault(name, {})[way, speaks] = f"{end} {len(seen)}"
         assert (end, len(seen)) == (expected, sends)
-        told = {identity(request, speaks) for request in seen}
-        assert len(told) == 1, "the attempts have different identities"
-        ((who, data),) = told
+        identities = {identity(request, speaks) for request in seen}
+        assert len(identities) == 1, "the attempts have different identities"
+        ((who, data),) = identities
         assert data == b"hello"
         if speaks != "platform":
             assert who == (("/rushhitch", "m1") if way == "resp2" else (EVENT["source"], EVENT["id"]))
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -44,15 +44,17 @@
 
 def test_the_longest_delays_leave_a_second_for_the_answer():
     assert PERIOD_S + PERIOD_S + ANSWER_RESERVE_S <= UPDATE_DEADLINE_S, (
-        "a period to the first call, which is refused, another one"
+        "a period before the first call, which is refused, and another one"
     )
     assert CROWDED_PERIOD_S + QUICK_RETRY_S + ANSWER_RESERVE_S <= UPDATE_DEADLINE_S, (
-        "a call that was let wait, the next one, which is refused"
+        "a late refusal, then a quick one"
     )
     assert SILENCE_S + SILENCE_RECONNECT_S + QUICK_RETRY_S + ANSWER_RESERVE_S <= UPDATE_DEADLINE_S, (
         "a watch that fell silent, a refusal"
     )
-    assert discovery.ANSWER_S >= UPDATE_DEADLINE_S - PERIOD_S, "no answer is given up that would come in time"
+    assert discovery.ANSWER_S >= UPDATE_DEADLINE_S - PERIOD_S, (
+        "no call is cancelled whose answer would be in time"
+    )
 
 
 @pytest.mark.parametrize(
