--- a/rushhitch/journal/store.py
+++ b/rushhitch/journal/store.py
@@ -133,7 +133,7 @@
             raise FolderInUseError(
                 f"{folder} is held by another process: stop that one first, or use another folder"
             )
-        collects = gc.isenabled()
+        gc_was_enabled = gc.isenabled()
         gc.disable()  # replay creates many objects, none garbage, that each collection would traverse
         try:
             self.replay()
@@ -143,7 +143,7 @@
             self.files.unlock()
             raise
         finally:
-            if collects:
+            if gc_was_enabled:
                 gc.enable()
 
     def close(self) -> None:
@@ -236,10 +236,10 @@
 
     def record_notice(self, message: int, result: str, wait_ms: float) -> None:
         """The message has ended; the platform has yet to be notified. It may retry after `wait_ms`."""
-        self.ended(self.live[message], result, wait_ms)
+        self.set_notice(self.live[message], result, wait_ms)
         self.append_record(message, form.NOTICE, form.NOTICE_HEAD.pack(message, wait_ms) + result.encode())
 
-    def ended(self, entry: JournalEntry, result: str, wait_ms: float) -> None:
+    def set_notice(self, entry: JournalEntry, result: str, wait_ms: float) -> None:
         self.live_bytes -= self.reserved_bytes(entry)
         entry.notice, entry.body, entry.attributes = (result, wait_ms), b"", b""
         self.live_bytes += self.reserved_bytes(entry)
@@ -338,31 +338,31 @@
     def write_batch(self) -> None:
         """Write as many pending records as fit the current segment."""
         pending = self.pending
-        segment, fresh = self.writable_segment(len(pending[0][3]))
-        size = segment.size + len(fresh) + self.pending_size
+        segment, header_bytes = self.writable_segment(len(pending[0][3]))
+        size = segment.size + len(header_bytes) + self.pending_size
         if size <= self.space.segment:
             batch = pending
         else:
-            batch, size = [], segment.size + len(fresh)
+            batch, size = [], segment.size + len(header_bytes)
             for item in pending:
                 if batch and size + len(item[3]) > self.space.segment:
                     break
                 batch.append(item)
                 size += len(item[3])
-        data = b"".join([fresh, *[item[3] for item in batch]])
+        data = b"".join([header_bytes, *[item[3] for item in batch]])
         if self.used + len(data) + BLOCK > self.space.disk:
             self.make_room(allocated_size(size) - allocated_size(segment.size))
         written = self.append(segment, data)
         if written == len(data):
             self.mark_written(segment, batch)
             return
-        done, whole = 0, len(fresh)
+        done, whole_bytes = 0, len(header_bytes)
         for item in batch:
-            if whole + len(item[3]) > written:
+            if whole_bytes + len(item[3]) > written:
                 break
-            done, whole = done + 1, whole + len(item[3])
+            done, whole_bytes = done + 1, whole_bytes + len(item[3])
         self.mark_written(segment, batch[:done])
-        self.truncate_segment(segment, segment.size - written + (whole if done else 0))
+        self.truncate_segment(segment, segment.size - written + (whole_bytes if done else 0))
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     def mark_written(self, segment: Segment, batch: list[tuple[int, int, str, bytes]]) -> None:
@@ -608,12 +608,12 @@
         """Whether compaction is due, since the disk fills or a start would replay too much. A `share` below
         1.0 asks whether that fraction of the limits is reached."""
         records = self.sequence - self.segments[0].base
-        most = MAX_REPLAY_RECORDS + MAX_REPLAY_RECORDS_PER_ENTRY * len(self.live)
+        max_records = MAX_REPLAY_RECORDS + MAX_REPLAY_RECORDS_PER_ENTRY * len(self.live)
         full = (
             self.used > share * self.space.compaction_start_bytes
             or len(self.segments) > share * self.space.segments
         )
-        return full or records > share * most
+        return full or records > share * max_records
 
     def run_compaction(self) -> None:
         try:
@@ -658,12 +658,12 @@
                 raise
         return self.remove_dead_segments() or moved
 
-    def remove_dead_segments(self, most: int = MAX_UNLINKS_PER_FLUSH) -> bool:
-        """Remove up to `most` segments without live entries, oldest first. A segment in the middle must stay:
+    def remove_dead_segments(self, max_count: int = MAX_UNLINKS_PER_FLUSH) -> bool:
+        """Remove up to `max_count` segments without live entries, oldest first. One in the middle must stay:
         it may hold the end of a message that begins in an older one."""
         dropped = 0
         while (
-            dropped < most
+            dropped < max_count
             and len(self.segments) > 1
             and not self.segments[0].live
             and not self.segments[0].cold
@@ -702,8 +702,8 @@
         """Seal the current segment and start a new one."""
         if self.segments:
             self.seal(self.segments[-1])
-        segment, fresh = self.writable_segment(0)
-        if fresh and self.append(segment, fresh) < len(fresh):
+        segment, header_bytes = self.writable_segment(0)
+        if header_bytes and self.append(segment, header_bytes) < len(header_bytes):
             self.truncate_segment(segment, 0)
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
