--- a/rushhitch/journal/format.py
+++ b/rushhitch/journal/format.py
@@ -43,7 +43,7 @@
 COPIED_KINDS = frozenset({MESSAGE, RECEIVED, COLD})  # kinds that compaction copies forward
 BOOT_SIZE = 8  # bytes of the hash of a boot id
 SYNCED = 1  # segment flag
-MAY_REPEAT_FLAG, HAS_KEY, HAS_HISTORY, REMEMBER_ID, HAS_ATTRIBUTES = 1, 2, 4, 8, 16  # message flags
+RESUBMITTED, HAS_KEY, HAS_HISTORY, REMEMBER_ID, HAS_ATTRIBUTES = 1, 2, 4, 8, 16  # message flags
 UNANSWERED = 32  # message flag: recorded before its client was answered; earlier builds ignore it
 MESSAGE_HEAD = struct.Struct(
     "<QddqHBBB"
@@ -79,7 +79,7 @@
     deadline: float
     body: bytes
     key: int = 0
-    again: bool = False
+    again: bool = False  # its client marked it as a resubmission
     attempts: int = 0
     out: dict[int, tuple[str, float]] = field(
         default_factory=dict
@@ -124,22 +124,22 @@
     """Serialize the whole state of a message; `unanswered` flags that its client has no answer yet."""
     cls, extra = entry.cls.encode(), b""
     flags = (
-        (MAY_REPEAT_FLAG if entry.again else 0)
+        (RESUBMITTED if entry.again else 0)
         | (REMEMBER_ID if entry.remember else 0)
         | (UNANSWERED if unanswered else 0)
     )
     if entry.key:
         flags |= HAS_KEY
         extra = entry.key.to_bytes(KEY_SIZE, "little")
-    named = [entry.tenant, entry.idempotency.decode("latin-1")]
-    if entry.out or entry.ran or entry.notice or entry.marks or any(named):
+    identifiers = [entry.tenant, entry.idempotency.decode("latin-1")]
+    if entry.out or entry.ran or entry.notice or entry.marks or any(identifiers):
         flags |= HAS_HISTORY
-        tried: list[Any] = [entry.ran, list(entry.out.items()), entry.notice]
-        if entry.awaiting_ack is not None or entry.marks or any(named):
-            tried += [entry.awaiting_ack, [mark.hex() for mark in entry.marks]]
-        if any(named):  # last, where builds without these fields ignore them
-            tried += named
-        history = json.dumps(tried, separators=(",", ":")).encode()
+        state: list[Any] = [entry.ran, list(entry.out.items()), entry.notice]
+        if entry.awaiting_ack is not None or entry.marks or any(identifiers):
+            state += [entry.awaiting_ack, [mark.hex() for mark in entry.marks]]
+        if any(identifiers):  # last, where builds without these fields ignore them
+            state += identifiers
+        history = json.dumps(state, separators=(",", ":")).encode()
         extra += LENGTH.pack(len(history)) + history
     if entry.attributes:
         flags |= HAS_ATTRIBUTES
@@ -167,43 +167,43 @@
     number, deadline, accepted_at, destination, attempts, flags, id_size, cls_size = MESSAGE_HEAD.unpack_from(
         payload
     )
-    at = MESSAGE_HEAD.size + id_size
-    name, cls = payload[MESSAGE_HEAD.size : at], payload[at : at + cls_size]
-    at += cls_size
-    known = classes.get(cls)
-    if known is None:
-        known = classes[cls] = cls.decode()
+    offset = MESSAGE_HEAD.size + id_size
+    name, cls = payload[MESSAGE_HEAD.size : offset], payload[offset : offset + cls_size]
+    offset += cls_size
+    class_name = classes.get(cls)
+    if class_name is None:
+        class_name = classes[cls] = cls.decode()
     key = 0
     if flags & HAS_KEY:
-        key, at = int.from_bytes(payload[at : at + KEY_SIZE], "little"), at + KEY_SIZE
+        key, offset = int.from_bytes(payload[offset : offset + KEY_SIZE], "little"), offset + KEY_SIZE
     out: dict[int, tuple[str, float]] = {}
-    ran = notice = handed = None
+    ran = notice = awaiting_ack = None
     marks: list[bytes] = []
     tenant, idempotency = "", ""
     if flags & HAS_HISTORY:
-        (size,) = LENGTH.unpack_from(payload, at)
-        at += LENGTH.size
-        ran, tries, notice, *rest = json.loads(payload[at : at + size])
+        (size,) = LENGTH.unpack_from(payload, offset)
+        offset += LENGTH.size
+        ran, open_attempts, notice, *rest = json.loads(payload[offset : offset + size])
         if rest:
-            handed, marks = rest[0], [bytes.fromhex(mark) for mark in rest[1]]
+            awaiting_ack, marks = rest[0], [bytes.fromhex(mark) for mark in rest[1]]
         if len(rest) > 2:
             tenant, idempotency = rest[2:4]
-        at += size
-        out = {attempt: (endpoint, when) for attempt, (endpoint, when) in tries}
+        offset += size
+        out = {attempt: (endpoint, when) for attempt, (endpoint, when) in open_attempts}
         ran, notice = tuple(ran) if ran else None, tuple(notice) if notice else None
     attributes = b""
     if flags & HAS_ATTRIBUTES:
-        (size,) = LENGTH.unpack_from(payload, at)
-        at += LENGTH.size
-        attributes, at = payload[at : at + size], at + size
-    again = flags & MAY_REPEAT_FLAG > 0
+        (size,) = LENGTH.unpack_from(payload, offset)
+        offset += LENGTH.size
+        attributes, offset = payload[offset : offset + size], offset + size
+    again = flags & RESUBMITTED > 0
     return JournalEntry(
         number,
         name,
-        known,
+        class_name,
         destination,
         deadline,
-        payload[at:],
+        payload[offset:],
         key,
         again,
         attempts,
@@ -213,7 +213,7 @@
         accepted_at,
         flags & REMEMBER_ID > 0,
         attributes,
-        handed,
+        awaiting_ack,
         marks,
         tenant,
         idempotency.encode("latin-1"),
@@ -273,21 +273,21 @@
 def records(data: bytes, scan: Scan) -> Iterator[tuple[int, int, bytes]]:
     """Yield the sequence, type and payload of each record. Damage is skipped up to the next whole record;
     `scan` then has the number of bytes skipped."""
-    at, size = HEADER_SIZE, len(data)
+    offset, size = HEADER_SIZE, len(data)
     crc32, unpack = zlib.crc32, RECORD.unpack_from
-    scan.valid_bytes = at
-    least = 0  # sequences only increase: what looks like an older record is part of a body
-    while at + RECORD_SIZE <= size:
-        length, checksum, sequence, kind = unpack(data, at)
-        end = at + RECORD_SIZE + length
-        if length <= MAX_RECORD_BYTES and end <= size and sequence >= least and 0 < kind < len(KINDS):
-            payload = data[at + RECORD_SIZE : end]
+    scan.valid_bytes = offset
+    min_sequence = 0  # sequences only increase: what looks like an older record is part of a body
+    while offset + RECORD_SIZE <= size:
+        length, checksum, sequence, kind = unpack(data, offset)
+        end = offset + RECORD_SIZE + length
+        if length <= MAX_RECORD_BYTES and end <= size and sequence >= min_sequence and 0 < kind < len(KINDS):
+            payload = data[offset + RECORD_SIZE : end]
             if crc32(payload, (sequence << 3 | kind) & 0xFFFFFFFF) == checksum:
-                if at > scan.valid_bytes:
-                    scan.damaged += at - scan.valid_bytes
+                if offset > scan.valid_bytes:
+                    scan.damaged += offset - scan.valid_bytes
                 yield sequence, kind, payload
-                at = scan.valid_bytes = end
-                least = sequence + 1
+                offset = scan.valid_bytes = end
+                min_sequence = sequence + 1
                 continue
-        at += 1
+        offset += 1
     scan.torn = size - scan.valid_bytes
