--- a/rushhitch/journal/legacy.py
+++ b/rushhitch/journal/legacy.py
@@ -20,7 +20,7 @@
     """The live messages, the cold endpoints, and the number of unreadable records skipped."""
     live: dict[int, JournalEntry] = {}
     cold: dict[str, float] = {}
-    bad = 0
+    unreadable = 0
     lines = data.split(b"\n")
     lines.pop()  # empty, or the incomplete last record of a killed process
     for line in lines:
@@ -29,9 +29,9 @@
         try:
             apply(live, cold, *record(line))
         except (ValueError, TypeError, KeyError) as error:
-            bad += 1
+            unreadable += 1
             log.warning("JSON journal: skipping an unreadable record: %s: %s", type(error).__name__, error)
-    return live, cold, bad
+    return live, cold, unreadable
 
 
 def record(line: bytes) -> list[Any]:
@@ -41,36 +41,36 @@
     return json.loads(text)
 
 
-def apply(live: dict[int, JournalEntry], cold: dict[str, float], what: str, subject: Any, *rest: Any) -> None:
-    if what == "cold":
-        cold[subject] = float(rest[0])
-    elif what == "warm":
-        cold.pop(subject, None)
-    elif what == "take":
+def apply(live: dict[int, JournalEntry], cold: dict[str, float], kind: str, target: Any, *rest: Any) -> None:
+    if kind == "cold":
+        cold[target] = float(rest[0])
+    elif kind == "warm":
+        cold.pop(target, None)
+    elif kind == "take":
         name, cls, destination, deadline, key, again, body = rest
         body = base64.b64decode(body)
-        live[subject] = JournalEntry(
-            subject, name.encode("latin-1"), cls, destination, deadline, body, key, again
+        live[target] = JournalEntry(
+            target, name.encode("latin-1"), cls, destination, deadline, body, key, again
         )
-    elif what == "try":
+    elif kind == "try":
         number, endpoint, at = rest
-        entry = live[subject]
+        entry = live[target]
         entry.out[number] = (endpoint, at)
         entry.attempts = max(entry.attempts, number + 1)
-    elif what == "got":
+    elif kind == "got":
         number, may_have_run = rest
-        entry = live[subject]
-        where = entry.out.pop(number)
-        if may_have_run and (entry.ran is None or where[1] < entry.ran[1]):
-            entry.ran = where
-    elif what == "sum":
-        entry = live[subject]
+        entry = live[target]
+        start = entry.out.pop(number)
+        if may_have_run and (entry.ran is None or start[1] < entry.ran[1]):
+            entry.ran = start
+    elif kind == "sum":
+        entry = live[target]
         entry.attempts, ran = rest
         entry.ran = tuple(ran) if ran else None
-    elif what == "owe":
-        live[subject].notice = (rest[0], rest[1])
-        live[subject].body = b""
-    elif what == "end":
-        del live[subject]
+    elif kind == "owe":
+        live[target].notice = (rest[0], rest[1])
+        live[target].body = b""
+    elif kind == "end":
+        del live[target]
     else:
-        raise ValueError(f"unknown kind of record {what!r}")
+        raise ValueError(f"unknown kind of record {kind!r}")
