--- a/rushhitch/journal/sidecar.py
+++ b/rushhitch/journal/sidecar.py
@@ -44,7 +44,7 @@
         """Replace the content. Raises `OSError` if that fails; the old content then remains."""
         synced = self.journal.sync is not Sync.NONE
         previous = self.files.read(self.name) if synced and self.size else None
-        self.replace(with_checksum(content))
+        self.replace(sealed(content))
         if not synced:
             return
         try:
@@ -88,7 +88,7 @@
             log.error("%s: a change reported as failed may hold from the next start on: %s", self.name, error)
 
 
-def with_checksum(content: bytes) -> bytes:
+def sealed(content: bytes) -> bytes:
     return b"%08x\n" % zlib.crc32(content) + content
 
 
--- a/tests/test_journal_sync.py
+++ b/tests/test_journal_sync.py
@@ -15,7 +15,7 @@
 DISK = 24_000.0
 
 
-def entry(number, body=b"a body"):
+def kept(number, body=b"a body"):
     return JournalEntry(number, b"m%d" % number, "pay", 7, 1_900_000_000.0, body, accepted_at=1_800_000_000.0)
 
 
@@ -97,7 +97,7 @@
 def test_an_unaccepted_message_is_dropped_after_a_kill_and_in_doubt_after_a_power_cut(tmp_path):
     journal = Journal(tmp_path, 1e6, Sync.BATCH, boot="one")
     for number in (1, 2, 3):
-        journal.record_received(entry(number))
+        journal.record_received(kept(number))
     journal.flush()
     journal.begin_answer(1)
     journal.finish_answer(1)
@@ -124,7 +124,7 @@
         journal = Journal(folder, DISK, Sync.BATCH, files)
         promised: dict[int, bool] = {}  # by number: is it live
         for number in range(seed % 50 + 5):
-            journal.record_accepted(entry(number, bytes(300)))
+            journal.record_accepted(kept(number, bytes(300)))
             recorded = {number: True}
             if number >= 8:
                 journal.record_end(number - 8)
@@ -135,7 +135,7 @@
                 assert group is not None
                 if number % 3 == 1:
                     journal.record_accepted(
-                        entry(1000 + number, bytes(900))
+                        kept(1000 + number, bytes(900))
                     )  # more comes while the group is at work
                     journal.flush()
                     journal.record_end(1000 + number)
@@ -159,13 +159,13 @@
     # No attempt was synced, so none was sent: after the power failure it is still safe to send.
     files = PowerCutFiles(tmp_path)
     journal = Journal(tmp_path, 1e6, Sync.BATCH, files)
-    journal.record_accepted(entry(1))
+    journal.record_accepted(kept(1))
     journal.flush()
     group = journal.sync_group()
     group.run()
     group.done()
     for number in range(2, 40):
-        journal.record_accepted(entry(number))
+        journal.record_accepted(kept(number))
         journal.flush()
     for seed in range(30):
         files.cut(seed)
@@ -186,10 +186,10 @@
         journal.files.sync = recording_sync
         ready = asyncio.Event()
         for number in range(5):
-            journal.record_accepted(entry(number))
+            journal.record_accepted(kept(number))
             committer.commit(lambda: order.append("told"), lambda: order.append("failed"))
         assert order == [], "called back before the sync"
-        journal.record_accepted(entry(9))
+        journal.record_accepted(kept(9))
         committer.commit(ready.set, ready.set)
         await asyncio.wait_for(ready.wait(), 10)
         assert order[0] == "synced" and order.count("told") == 5 and order.count("synced") <= 2
@@ -210,7 +210,7 @@
             committer.commit(lambda: results.put_nowait("done"), lambda: results.put_nowait("failed"))
             return await asyncio.wait_for(results.get(), 10)
 
-        journal.record_accepted(entry(1))
+        journal.record_accepted(kept(1))
         assert await commit() == "done"
         sync = files.sync
 
@@ -219,7 +219,7 @@
             raise OSError(errno.EIO, "injected disk error")
 
         files.sync = failing_sync
-        journal.record_accepted(entry(2))
+        journal.record_accepted(kept(2))
         assert await commit() == "failed"
         assert journal.has_unwritten_records and not journal.has_room(1)
         files.sync = sync
@@ -238,7 +238,7 @@
     with pytest.raises(Crash):
         journal = Journal(tmp_path, 1e6, sync, files)
         for number in range(20):
-            journal.record_accepted(entry(number))
+            journal.record_accepted(kept(number))
             journal.flush()
     files.die()
     power = PowerCutFiles(tmp_path)
