--- a/lab/ill.py
+++ b/lab/ill.py
@@ -26,7 +26,7 @@
 from rushhitch.membership import server, wire
 from rushhitch.membership.messages import Ask, Message, Relayed, Row
 from rushhitch.sharing import server as sharing
-from rushhitch.sharing.messages import Tell
+from rushhitch.sharing.messages import Send
 
 LOOK_S = 0.05
 NOTE_S = 0.04
@@ -83,7 +83,7 @@
         self.loop.call_later(NOTE_S, self.note)
         for name, (size, need) in told().get("needs", {}).items():
             self.part(name, size)
-            self.budgets.needs(name, need)
+            self.budgets.set_need(name, need)
         self.write()
 
     def write(self) -> None:
@@ -92,9 +92,9 @@
             self.record.write(f"{time.monotonic():.6f} {name} {usable:.6f} {min(usable, budget.need):.6f}\n")
         self.record.flush()
 
-    def tell(self, told: list[Tell]) -> None:
+    def send(self, messages: list[Send]) -> None:
         self.write()  # what is lent is not usable here from before the other hears of it
-        super().tell(told)
+        super().send(messages)
 
 
 def later_row(row: Row) -> list[Any]:
--- a/lab/sharing.py
+++ b/lab/sharing.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from lab.membership import Process, World
-from rushhitch.sharing.budgets import FLOOR, LOOK_S, Budgets
-from rushhitch.sharing.messages import Tell
+from rushhitch.sharing.budgets import DEFAULT_FLOOR, TICK_INTERVAL_S, Budgets
+from rushhitch.sharing.messages import Send
 
 NAME, SIZE = "lane", 100.0
 EVERY_S = 0.1  # between two looks from outside
@@ -39,7 +39,7 @@
 class Alone(Budgets):
     """The baseline: each keeps to its part, and nothing is lent."""
 
-    def borrow(self, now: float, peers: list[str]) -> list[Tell]:
+    def borrow(self, now: float, peers: list[str]) -> list[Send]:
         return []
 
 
@@ -52,7 +52,7 @@
         seed: int,
         need: Callable[[str, float], float] | None = None,
         scheme: type[Budgets] = Budgets,
-        floor: float = FLOOR,
+        floor: float = DEFAULT_FLOOR,
         **told: Any,
     ) -> None:
         self.scheme, self.floor = scheme, floor
@@ -79,14 +79,14 @@
         if not process.running:
             return
         if self.now >= process.still_until:
-            budgets.needs(NAME, self.need(process.name, self.now))
+            budgets.set_need(NAME, self.need(process.name, self.now))
             table = process.detector.table
             peers = [record.row.name for record in table.others()]
             self.tell(process, budgets.tick(process.now, process.detector.bounds(process.now), peers))
-        lag = 2.0 if self.now < process.lags_until else LOOK_S
+        lag = 2.0 if self.now < process.lags_until else TICK_INTERVAL_S
         self.at(self.now + lag * self.chance.uniform(0.9, 1.1), lambda: self.share(process, budgets))
 
-    def tell(self, process: Process, told: list[Tell]) -> None:
+    def tell(self, process: Process, told: list[Send]) -> None:
         for one in told:
             self.told += 1
             self.told_bytes += BYTES + UNIT_BYTES * len(one.message.units)
--- a/lab/sharing_explorer.py
+++ b/lab/sharing_explorer.py
@@ -12,7 +12,7 @@
 from lab.explorer import First
 from rushhitch.membership.view import Bounds
 from rushhitch.sharing.budgets import Budgets
-from rushhitch.sharing.messages import Lent, Wanted
+from rushhitch.sharing.messages import LoanGrant, LoanRequest
 
 STEP_S = 0.7  # below the gap that is a standstill
 SIZE = 2.0  # units of the budget
@@ -25,7 +25,7 @@
     """The fleet, and what is on its way."""
 
     members: dict[str, Budgets] = field(default_factory=dict)
-    out: list[tuple[str, str, Wanted | Lent]] = field(default_factory=list)  # from, to
+    out: list[tuple[str, str, LoanRequest | LoanGrant]] = field(default_factory=list)  # from, to
     now: float = 0.0
     still: frozenset[str] = frozenset()
     once: frozenset[str] = frozenset()  # steps that may be taken once, and were
@@ -43,7 +43,7 @@
         bounds = Bounds(1, len(self.members), True)
         for name, budgets in self.members.items():
             if name not in self.still:
-                budgets.needs("x", NEEDS[self.needs][name])
+                budgets.set_need("x", NEEDS[self.needs][name])
                 peers = [other for other in self.members if other != name]
                 self.act(name, budgets.tick(self.now, bounds, peers))
 
--- a/rushhitch/sharing/budgets.py
+++ b/rushhitch/sharing/budgets.py
@@ -8,12 +8,15 @@
 
     The rights in use never pass the budget. At a moment t let S be all whose parts are in use, by themselves
     or by who borrowed them; L is how long a loan is out (`LOAN_S`), G the longest time between two looks at
-    the bounds (`GAP_S`). Each of S acted, by its own lease of membership, all through the time from t - L - G
-    to t - L: a member uses or lends its part only once it has acted for L + G (`WAIT_S`), and what it lent is
+    the bounds (`STALL_S`). Each of S acted, by its own lease of membership, all through the time from t -
+    L - G
+    to t - L: a member uses or lends its part only once it has acted for L + G (`PART_DELAY_S`), and what
+    it lent is
     over after L. Each of S has looked at its bounds in that time, when all of S acted, and has divided by the
     largest count since. So each part is at most the budget by the number of S.
 
-Who stood still, or whose clock jumped, knows nothing of the time between: for `WAIT_S` it divides by the
+Who stood still, or whose clock jumped, knows nothing of the time between: for `PART_DELAY_S` it divides by
+the
 stated fleet as well, and what it lent is out for so much longer.
 
 A *floor*, a share of each budget, is set aside from all that: divided by the stated fleet it is each
@@ -28,37 +31,46 @@
 from dataclasses import dataclass, field
 
 from rushhitch.membership.view import Bounds
-from rushhitch.sharing.messages import MOST_BUDGETS, MOST_BYTES, UNIT_BYTES, Lent, Tell, Wanted
+from rushhitch.sharing.messages import (
+    ENTRY_BYTES,
+    MAX_BUDGETS,
+    MAX_PAYLOAD_BYTES,
+    LoanGrant,
+    LoanRequest,
+    Send,
+)
 
 LEASE_S = 3.0  # what is borrowed holds so long from when it was asked for, by the borrower's clock
-SLACK_S = 0.5  # the lender counts it for so much longer, and for a part of the lease in which clocks differ
-DRIFT = 0.02
-LOOK_S = 0.25  # between two looks at the bounds
-GAP_S = 0.75  # more than that, and this process stood still
-ASKED = 2  # lenders asked at a look for more, at most
-REST_S = 2.0  # between two looks for more, where none had any: doubled up to that
-ANEW = 0.5  # of a lease: then it is asked for again
-SPARE = 1.1  # of its own need a lender keeps, so that it does not borrow the next moment
-FLOOR = 0.1  # of a budget, set aside unless told otherwise
-ENOUGH = 0.02  # of what it wants, which is too little to ask for
-LOAN_S = LEASE_S * (1.0 + DRIFT) + SLACK_S
-WAIT_S = LOAN_S + GAP_S
-
-
-def fitting(units: Mapping[str, float]) -> dict[str, float]:
+LEASE_SLACK_S = (
+    0.5  # the lender counts it for so much longer, and for a part of the lease in which clocks differ
+)
+MAX_CLOCK_DRIFT = 0.02
+TICK_INTERVAL_S = 0.25  # between two looks at the bounds
+STALL_S = 0.75  # more than that, and this process stood still
+LENDERS_PER_SEARCH = 2  # lenders asked at a look for more, at most
+MAX_SEARCH_INTERVAL_S = 2.0  # between two looks for more, where none had any: doubled up to that
+RENEW_AFTER_SHARE = 0.5  # of a lease: then it is asked for again
+NEED_MARGIN = 1.1  # of its own need a lender keeps, so that it does not borrow the next moment
+DEFAULT_FLOOR = 0.1  # of a budget, set aside unless told otherwise
+MIN_MISSING_SHARE = 0.02  # of what it wants, which is too little to ask for
+LOAN_S = LEASE_S * (1.0 + MAX_CLOCK_DRIFT) + LEASE_SLACK_S
+PART_DELAY_S = LOAN_S + STALL_S
+
+
+def fit_datagram(units: Mapping[str, float]) -> dict[str, float]:
     """As many of them as one message takes."""
     found: dict[str, float] = {}
-    room = MOST_BYTES
+    room = MAX_PAYLOAD_BYTES
     for name, wanted in units.items():
-        room -= len(name.encode()) + UNIT_BYTES
-        if room < 0 or len(found) >= MOST_BUDGETS:
+        room -= len(name.encode()) + ENTRY_BYTES
+        if room < 0 or len(found) >= MAX_BUDGETS:
             break
         found[name] = wanted
     return found
 
 
 @dataclass(slots=True)
-class InheritedAttempt:
+class Loan:
     """What another may be using of this member's part, until then."""
 
     units: float
@@ -71,19 +83,19 @@
 
     size: float
     need: float = 0.0  # what this member would use
-    lent: dict[str, list[InheritedAttempt]] = field(default_factory=dict)  # by borrower
+    lent: dict[str, list[Loan]] = field(default_factory=dict)  # by borrower
     borrowed: dict[str, tuple[int, float, float]] = field(default_factory=dict)  # number, units, end
 
-    def out(self, now: float, but: str = "") -> float:
+    def lent_units(self, now: float, excluding: str = "") -> float:
         """Units that others may be using. Of several loans to one of them the largest counts: a later answer
         takes the place of an earlier one, but may have been lost."""
         return sum(
             max((loan.units for loan in loans if now < loan.until), default=0.0)
             for name, loans in self.lent.items()
-            if name != but
+            if name != excluding
         )
 
-    def held(self, now: float) -> float:
+    def borrowed_units(self, now: float) -> float:
         """Units borrowed and not over."""
         for name in [name for name, (_, _, end) in self.borrowed.items() if now >= end]:
             del self.borrowed[name]
@@ -91,24 +103,28 @@
 
 
 class Budgets:
-    """One member's. `tick` every `LOOK_S`, `receive` what comes; both give what to tell. `usable` is asked at
+    """One member's. `tick` every `TICK_INTERVAL_S`, `receive` what comes; both give what to tell. `usable`
+    is asked at
     each use: what has run out since the last tick is not usable."""
 
     def __init__(
-        self, name: str, fleet: int, chance: random.Random, now: float, floor: float = FLOOR
+        self, name: str, fleet_size: int, rng: random.Random, now: float, floor: float = DEFAULT_FLOOR
     ) -> None:
-        """`fleet` is how many members operators run at most; `floor` a share of each budget, below 1, the
+        """`fleet_size` is how many members operators run at most; `floor` a share of each budget, below 1,
+        the
         same for all of them."""
-        self.name, self.fleet, self.chance, self.floor_share = name, fleet, chance, floor
+        self.name, self.fleet_size, self.rng, self.floor_share = name, fleet_size, rng, floor
         self.budgets: dict[str, Budget] = {}
-        self.counts: deque[tuple[float, int]] = deque()  # when it looked, and how many may have been acting
-        self.looked_at = now
-        self.acts_from: float | None = None  # since then it has acted without a break
-        self.blind_until = now + WAIT_S  # it does not know all counts of late
+        self.member_counts: deque[tuple[float, int]] = (
+            deque()
+        )  # when it looked, and how many may have been acting
+        self.ticked_at = now
+        self.active_since: float | None = None  # since then it has acted without a break
+        self.counts_unknown_until = now + PART_DELAY_S  # it does not know all counts of late
         self.number = 0
-        self.asked: dict[int, tuple[str, float]] = {}  # by number: whom, and when
-        self.spare: dict[str, float] = {}  # by member: when it was last found to have some left
-        self.misses = 0  # answers in a row that gave nothing
+        self.pending: dict[int, tuple[str, float]] = {}  # by number: whom, and when
+        self.recent_lenders: dict[str, float] = {}  # by member: when it was last found to have some left
+        self.failed_searches = 0  # answers in a row that gave nothing
         self.next_search = now
 
     # What users tell and ask
@@ -125,47 +141,55 @@
         if name in self.budgets:
             self.budgets[name].size = 0.0
 
-    def needs(self, name: str, units: float) -> None:
+    def set_need(self, name: str, units: float) -> None:
         """What this member would use of it."""
         self.budgets[name].need = units
 
     def usable(self, name: str, now: float) -> float:
         """Units that this member may use now."""
         budget = self.budgets[name]
-        own = max(self.part(budget, now) - budget.out(now), 0.0)
-        return self.floor(budget) + own + budget.held(now)
+        own = max(self.part(budget, now) - budget.lent_units(now), 0.0)
+        return self.floor(budget) + own + budget.borrowed_units(now)
 
     def floor(self, budget: Budget) -> float:
         """What is this process's, whatever it hears."""
-        return budget.size * self.floor_share / max(self.fleet, *(most for _, most in self.counts), 1)
+        return (
+            budget.size
+            * self.floor_share
+            / max(self.fleet_size, *(most for _, most in self.member_counts), 1)
+        )
 
     def part(self, budget: Budget, now: float) -> float:
         """Its own, lent or not; none while it does not act, or has not looked of late."""
-        if self.acts_from is None or now - self.acts_from < WAIT_S or now - self.looked_at >= GAP_S:
+        if (
+            self.active_since is None
+            or now - self.active_since < PART_DELAY_S
+            or now - self.ticked_at >= STALL_S
+        ):
             return 0.0
-        most = max(count for at, count in self.counts if now - at <= WAIT_S)
+        most = max(count for at, count in self.member_counts if now - at <= PART_DELAY_S)
         divided = budget.size * (1.0 - self.floor_share)
-        return divided / max(most, self.fleet if now < self.blind_until else 1)
+        return divided / max(most, self.fleet_size if now < self.counts_unknown_until else 1)
 
     # Time and messages
 
-    def tick(self, now: float, bounds: Bounds, peers: Iterable[str]) -> list[Tell]:
+    def tick(self, now: float, bounds: Bounds, peers: Iterable[str]) -> list[Send]:
         """`bounds` as of now; `peers` are the others that are there."""
-        self.look(now, bounds)
-        for number in [n for n, (_, at) in self.asked.items() if now - at >= LEASE_S]:
-            del self.asked[number]
+        self.observe(now, bounds)
+        for number in [n for n, (_, at) in self.pending.items() if now - at >= LEASE_S]:
+            del self.pending[number]
         for name, budget in list(self.budgets.items()):
-            if not budget.size and not budget.out(now) and not budget.held(now):
+            if not budget.size and not budget.lent_units(now) and not budget.borrowed_units(now):
                 del self.budgets[name]
         return self.borrow(now, sorted(peers))
 
-    def look(self, now: float, bounds: Bounds) -> None:
-        gap = now - self.looked_at
-        self.looked_at = now
-        if gap >= GAP_S:
-            self.blind_until = now + WAIT_S
-            if self.acts_from is not None and now - gap - self.acts_from < WAIT_S:
-                self.acts_from += gap  # who waits has not waited in that time
+    def observe(self, now: float, bounds: Bounds) -> None:
+        gap = now - self.ticked_at
+        self.ticked_at = now
+        if gap >= STALL_S:
+            self.counts_unknown_until = now + PART_DELAY_S
+            if self.active_since is not None and now - gap - self.active_since < PART_DELAY_S:
+                self.active_since += gap  # who waits has not waited in that time
             for budget in self.budgets.values():
                 for loans in budget.lent.values():
                     for loan in loans:
@@ -174,18 +198,18 @@
             live = {name: [loan for loan in loans if now < loan.until] for name, loans in budget.lent.items()}
             budget.lent = {name: loans for name, loans in live.items() if loans}
         if not bounds.leased:
-            self.acts_from = None
-        elif self.acts_from is None:
-            self.acts_from = now
-        self.counts.append((now, bounds.most))
-        while now - self.counts[0][0] > WAIT_S:
-            self.counts.popleft()
-
-    def receive(self, now: float, sender: str, message: Wanted | Lent) -> list[Tell]:
-        if isinstance(message, Lent):
-            self.take(now, sender, message)
-        elif message.sound():
-            return [Tell(sender, Lent(message.number, self.lend(now, sender, message.units)))]
+            self.active_since = None
+        elif self.active_since is None:
+            self.active_since = now
+        self.member_counts.append((now, bounds.most))
+        while now - self.member_counts[0][0] > PART_DELAY_S:
+            self.member_counts.popleft()
+
+    def receive(self, now: float, sender: str, message: LoanRequest | LoanGrant) -> list[Send]:
+        if isinstance(message, LoanGrant):
+            self.apply_grant(now, sender, message)
+        elif message.is_valid():
+            return [Send(sender, LoanGrant(message.number, self.lend(now, sender, message.units)))]
         return []
 
     # Lending
@@ -198,51 +222,53 @@
             if budget is None:
                 found[name] = 0.0
                 continue
-            keeps = max(budget.need * SPARE - self.floor(budget), 0.0)
-            left = self.part(budget, now) - budget.out(now, but=borrower) - keeps
+            keeps = max(budget.need * NEED_MARGIN - self.floor(budget), 0.0)
+            left = self.part(budget, now) - budget.lent_units(now, excluding=borrower) - keeps
             lends = max(min(units, left), 0.0)
             if lends > 0.0:
-                budget.lent.setdefault(borrower, []).append(InheritedAttempt(lends, now + LOAN_S))
+                budget.lent.setdefault(borrower, []).append(Loan(lends, now + LOAN_S))
             found[name] = lends
         return found
 
     # Borrowing
 
-    def borrow(self, now: float, peers: list[str]) -> list[Tell]:
+    def borrow(self, now: float, peers: list[str]) -> list[Send]:
         """Ask those who lend already before it runs out, and others for what is missing."""
         wanted: dict[str, dict[str, float]] = {}
         searched = False
         for name, budget in self.budgets.items():
             missing = budget.need - self.usable(name, now)
             for lender, (_, units, end) in budget.borrowed.items():
-                if lender in peers and end - now < (1.0 - ANEW) * LEASE_S:
+                if lender in peers and end - now < (1.0 - RENEW_AFTER_SHARE) * LEASE_S:
                     wants = max(units + missing, 0.0)  # less, where it needs less
                     wanted.setdefault(lender, {})[name] = wants
                     missing -= max(wants - units, 0.0)
-            if missing > ENOUGH * budget.need and now >= self.next_search:
+            if missing > MIN_MISSING_SHARE * budget.need and now >= self.next_search:
                 searched = True
-                for lender in self.lenders(now, peers, but=budget.borrowed):
+                for lender in self.lenders(now, peers, excluding=budget.borrowed):
                     wanted.setdefault(lender, {})[name] = missing
         if searched:
-            self.next_search = now + min(LOOK_S * 2.0 ** min(self.misses, 8), REST_S)
+            self.next_search = now + min(
+                TICK_INTERVAL_S * 2.0 ** min(self.failed_searches, 8), MAX_SEARCH_INTERVAL_S
+            )
         told = []
         for lender, units in wanted.items():
             self.number += 1
-            self.asked[self.number] = (lender, now)
-            told.append(Tell(lender, Wanted(self.number, fitting(units))))
+            self.pending[self.number] = (lender, now)
+            told.append(Send(lender, LoanRequest(self.number, fit_datagram(units))))
         return told
 
-    def lenders(self, now: float, peers: list[str], but: Mapping[str, object]) -> list[str]:
+    def lenders(self, now: float, peers: list[str], excluding: Mapping[str, object]) -> list[str]:
         """One of those that had some left of late, and one by chance."""
-        others = [peer for peer in peers if peer not in but and peer != self.name]
-        known = [peer for peer in others if now - self.spare.get(peer, float("-inf")) < LEASE_S]
-        chosen = self.chance.sample(known, min(1, len(known)))
+        others = [peer for peer in peers if peer not in excluding and peer != self.name]
+        known = [peer for peer in others if now - self.recent_lenders.get(peer, float("-inf")) < LEASE_S]
+        chosen = self.rng.sample(known, min(1, len(known)))
         rest = [peer for peer in others if peer not in chosen]
-        return chosen + self.chance.sample(rest, min(ASKED - len(chosen), len(rest)))
+        return chosen + self.rng.sample(rest, min(LENDERS_PER_SEARCH - len(chosen), len(rest)))
 
-    def take(self, now: float, lender: str, told: Lent) -> None:
+    def apply_grant(self, now: float, lender: str, told: LoanGrant) -> None:
         """An answer counts if it was asked for, from when it was, and never after a newer one."""
-        asked = self.asked.pop(told.number, None)
+        asked = self.pending.pop(told.number, None)
         if asked is None or asked[0] != lender:
             return
         end = asked[1] + LEASE_S
@@ -257,7 +283,7 @@
                     del budget.borrowed[lender]
                 gave |= units > 0.0
         if gave:
-            self.spare[lender], self.misses = now, 0
+            self.recent_lenders[lender], self.failed_searches = now, 0
         else:
-            self.spare.pop(lender, None)
-            self.misses += 1
+            self.recent_lenders.pop(lender, None)
+            self.failed_searches += 1
--- a/rushhitch/sharing/server.py
+++ b/rushhitch/sharing/server.py
@@ -14,17 +14,17 @@
 from typing import Any, Protocol
 
 from rushhitch.membership.view import Bounds, Seen, State
-from rushhitch.sharing.budgets import LOOK_S, Budgets
-from rushhitch.sharing.messages import Tell
+from rushhitch.sharing.budgets import TICK_INTERVAL_S, Budgets
+from rushhitch.sharing.messages import Send
 from rushhitch.sharing.wire import decode, encode
 
 log = logging.getLogger(__name__)
 
-FORGET_S = 30.0  # a budget of which nobody asked for so long is forgotten
-TOLD_S = 10.0  # between two lines on messages that cannot be read
+BUDGET_IDLE_S = 30.0  # a budget of which nobody asked for so long is forgotten
+WARNING_INTERVAL_S = 10.0  # between two lines on messages that cannot be read
 
 
-class Carrier(Protocol):
+class Membership(Protocol):
     """What is needed of membership beside its `View`."""
 
     carried: Callable[[str, bytes], None] | None
@@ -51,17 +51,17 @@
         name: str,
         fleet: int,
         floor: float,
-        member: Carrier,
+        member: Membership,
         needs: Callable[[float], Iterable[tuple[str, float]]],
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.member, self.needs, self.name = member, needs, name
         self.budgets = Budgets(name, fleet, random.Random(os.urandom(16)), clock(), floor)
-        self.asked_at: dict[str, float] = {}  # by budget: when a part of it was last asked for
+        self.last_used_at: dict[str, float] = {}  # by budget: when a part of it was last asked for
         self.ticked_at = clock()
         self.timer: asyncio.TimerHandle | None = None
-        self.told = self.bad = 0
-        self.bad_told_at = clock()
+        self.sent_count = self.unreadable_count = 0
+        self.warned_at = clock()
         member.carried, member.shared = self.receive, self.report
 
     def start(self) -> None:
@@ -75,39 +75,39 @@
     def part(self, name: str, size: float) -> float:
         """Of a budget of that size, the units that this dispatcher may use now."""
         now = clock()
-        self.asked_at[name] = now
+        self.last_used_at[name] = now
         self.budgets.resize(name, size)
         return self.budgets.usable(name, now)
 
     def tick(self) -> None:
-        self.timer = self.loop.call_later(LOOK_S, self.tick)
+        self.timer = self.loop.call_later(TICK_INTERVAL_S, self.tick)
         now = clock()
         elapsed, self.ticked_at = now - self.ticked_at, now
         for name, need in self.needs(elapsed):
             if name in self.budgets.budgets:
-                self.budgets.needs(name, need)
-        for name in [name for name, at in self.asked_at.items() if now - at >= FORGET_S]:
-            del self.asked_at[name]
+                self.budgets.set_need(name, need)
+        for name in [name for name, at in self.last_used_at.items() if now - at >= BUDGET_IDLE_S]:
+            del self.last_used_at[name]
             self.budgets.forget(name)
         seen = self.member.members(self.loop.time())
         peers = [one.name for one in seen if one.state == State.ALIVE and one.name != self.name]
-        self.tell(self.budgets.tick(now, self.member.bounds(self.loop.time()), peers))
+        self.send(self.budgets.tick(now, self.member.bounds(self.loop.time()), peers))
 
     def receive(self, sender: str, payload: bytes) -> None:
         try:
             message = decode(payload)
         except ValueError as error:
-            self.bad += 1
-            if clock() - self.bad_told_at >= TOLD_S:
-                self.bad_told_at = clock()
-                words = (self.bad, sender, error)
+            self.unreadable_count += 1
+            if clock() - self.warned_at >= WARNING_INTERVAL_S:
+                self.warned_at = clock()
+                words = (self.unreadable_count, sender, error)
                 log.warning("%d messages on budgets cannot be read, the last of %s: %s", *words)
             return
-        self.tell(self.budgets.receive(clock(), sender, message))
+        self.send(self.budgets.receive(clock(), sender, message))
 
-    def tell(self, told: list[Tell]) -> None:
-        for one in told:
-            self.told += 1
+    def send(self, sends: list[Send]) -> None:
+        for one in sends:
+            self.sent_count += 1
             self.member.carry(one.to, encode(one.message))
 
     def report(self) -> dict[str, Any]:
@@ -115,8 +115,8 @@
         now, budgets = clock(), self.budgets
         return {
             "name": self.name,
-            "messages": self.told,
-            "unreadable": self.bad,
+            "messages": self.sent_count,
+            "unreadable": self.unreadable_count,
             "budgets": {
                 name: {
                     "size": budget.size,
--- a/rushhitch/sharing/wire.py
+++ b/rushhitch/sharing/wire.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from rushhitch.sharing.messages import Lent, Wanted
+from rushhitch.sharing.messages import LoanGrant, LoanRequest
 
-KINDS: tuple[type, ...] = (Wanted, Lent)
+KINDS: tuple[type, ...] = (LoanRequest, LoanGrant)
 
 
 class _Message(msgspec.Struct, array_like=True):
@@ -20,11 +20,11 @@
 _read = msgspec.msgpack.Decoder(_Message).decode
 
 
-def encode(message: Wanted | Lent) -> bytes:
+def encode(message: LoanRequest | LoanGrant) -> bytes:
     return _encode([KINDS.index(type(message)), message.number, message.units])
 
 
-def decode(data: bytes) -> Wanted | Lent:
+def decode(data: bytes) -> LoanRequest | LoanGrant:
     """Raises a `ValueError` where it is none."""
     try:
         told = _read(data)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -13,8 +13,16 @@
 from lab.sharing import NAME, SIZE, Alone, SharingWorld, Used, over
 from lab.sharing_explorer import met
 from rushhitch.membership.view import Bounds
-from rushhitch.sharing.budgets import GAP_S, LEASE_S, LOAN_S, LOOK_S, REST_S, WAIT_S, Budgets
-from rushhitch.sharing.messages import Lent, Wanted
+from rushhitch.sharing.budgets import (
+    LEASE_S,
+    LOAN_S,
+    MAX_SEARCH_INTERVAL_S,
+    PART_DELAY_S,
+    STALL_S,
+    TICK_INTERVAL_S,
+    Budgets,
+)
+from rushhitch.sharing.messages import LoanGrant, LoanRequest
 
 
 def member(name="a", fleet=4, size=100.0, until=10.0, most=4, floor=0.0):
@@ -27,42 +35,42 @@
 
 def looks(budgets, begun, until, most=4, leased=True, peers=()):
     told = []
-    for step in range(int((until - begun) / LOOK_S) + 1):
-        told += budgets.tick(begun + step * LOOK_S, Bounds(1, most, leased), peers)
+    for step in range(int((until - begun) / TICK_INTERVAL_S) + 1):
+        told += budgets.tick(begun + step * TICK_INTERVAL_S, Bounds(1, most, leased), peers)
     return told
 
 
 def test_a_part_is_the_budget_by_all_that_may_act_and_is_used_only_after_a_wait():
     budgets = Budgets("a", 4, random.Random(1), 0.0, floor=0.0)
     budgets.resize("x", 100.0)
-    looks(budgets, 0.0, WAIT_S - LOOK_S)
-    assert budgets.usable("x", WAIT_S - LOOK_S) == 0.0
-    looks(budgets, WAIT_S, WAIT_S + 1.0)
-    assert budgets.usable("x", WAIT_S + 1.0) == 25.0
-    looks(budgets, WAIT_S + 1.0, WAIT_S + 2.0, leased=False)
-    assert budgets.usable("x", WAIT_S + 2.0) == 0.0, "who does not act uses nothing"
+    looks(budgets, 0.0, PART_DELAY_S - TICK_INTERVAL_S)
+    assert budgets.usable("x", PART_DELAY_S - TICK_INTERVAL_S) == 0.0
+    looks(budgets, PART_DELAY_S, PART_DELAY_S + 1.0)
+    assert budgets.usable("x", PART_DELAY_S + 1.0) == 25.0
+    looks(budgets, PART_DELAY_S + 1.0, PART_DELAY_S + 2.0, leased=False)
+    assert budgets.usable("x", PART_DELAY_S + 2.0) == 0.0, "who does not act uses nothing"
 
 
 def test_after_a_leave_a_part_grows_only_when_what_the_one_that_left_had_lent_is_over():
     budgets = member()
     looks(budgets, 10.25, 10.25 + LOAN_S, most=2)
     assert budgets.usable("x", 10.25 + LOAN_S) == 25.0
-    looks(budgets, 10.5 + LOAN_S, 11.0 + WAIT_S, most=2)
-    assert budgets.usable("x", 11.0 + WAIT_S) == 50.0
-    looks(budgets, 11.25 + WAIT_S, 11.25 + WAIT_S, most=5)
-    assert budgets.usable("x", 11.25 + WAIT_S) == 20.0, "and shrinks at once"
+    looks(budgets, 10.5 + LOAN_S, 11.0 + PART_DELAY_S, most=2)
+    assert budgets.usable("x", 11.0 + PART_DELAY_S) == 50.0
+    looks(budgets, 11.25 + PART_DELAY_S, 11.25 + PART_DELAY_S, most=5)
+    assert budgets.usable("x", 11.25 + PART_DELAY_S) == 20.0, "and shrinks at once"
 
 
 def test_what_is_lent_is_not_used_until_its_lease_is_over_and_what_is_needed_is_kept():
     lender = member()
-    lender.needs("x", 10.0)
-    (told,) = lender.receive(10.0, "b", Wanted(1, {"x": 50.0}))
+    lender.set_need("x", 10.0)
+    (told,) = lender.receive(10.0, "b", LoanRequest(1, {"x": 50.0}))
     assert told.to == "b" and told.message.units == {"x": pytest.approx(25.0 - 11.0)}
     assert lender.usable("x", 10.0) == pytest.approx(11.0)
-    (again,) = lender.receive(10.1, "b", Wanted(1, {"x": 50.0}))
+    (again,) = lender.receive(10.1, "b", LoanRequest(1, {"x": 50.0}))
     assert again.message == told.message, "repeats make none"
     assert lender.usable("x", 10.1) == pytest.approx(11.0)
-    (other,) = lender.receive(10.1, "c", Wanted(7, {"x": 50.0}))
+    (other,) = lender.receive(10.1, "c", LoanRequest(7, {"x": 50.0}))
     assert other.message.units == {"x": 0.0}
     looks(lender, 10.25, 10.0 + LOAN_S)
     assert lender.usable("x", 10.0 + LOAN_S) == pytest.approx(11.0)
@@ -72,9 +80,9 @@
 
 def test_a_smaller_answer_does_not_free_what_the_larger_one_before_it_lent():
     lender = member()
-    lender.receive(10.0, "b", Wanted(1, {"x": 20.0}))
+    lender.receive(10.0, "b", LoanRequest(1, {"x": 20.0}))
     looks(lender, 10.25, 11.0)
-    lender.receive(11.0, "b", Wanted(2, {"x": 5.0}))
+    lender.receive(11.0, "b", LoanRequest(2, {"x": 5.0}))
     assert lender.usable("x", 11.0) == 5.0, "the second answer may be lost"
     looks(lender, 11.25, 10.25 + LOAN_S)
     assert lender.usable("x", 10.25 + LOAN_S) == 20.0
@@ -82,45 +90,45 @@
 
 def test_an_answer_counts_from_when_it_was_asked_for_once_and_never_after_a_newer_one():
     borrower = member("b")
-    borrower.needs("x", 60.0)
+    borrower.set_need("x", 60.0)
     told = borrower.tick(10.25, Bounds(4, 4, True), ("a", "c"))
     assert {tell.to for tell in told} == {"a", "c"}
     to_a = next(tell.message for tell in told if tell.to == "a")
     assert to_a.units == {"x": pytest.approx(35.0)}
-    borrower.receive(10.9, "c", Lent(to_a.number, {"x": 20.0}))
+    borrower.receive(10.9, "c", LoanGrant(to_a.number, {"x": 20.0}))
     assert borrower.usable("x", 10.9) == 25.0, "another's answer is none"
-    borrower.asked[to_a.number] = ("a", 10.25)
-    borrower.receive(11.0, "a", Lent(to_a.number, {"x": 20.0}))
-    borrower.receive(11.0, "a", Lent(to_a.number, {"x": 20.0}))
-    assert borrower.budgets["x"].held(11.0) == 20.0
-    borrower.asked[99] = ("a", 11.0)
-    borrower.receive(11.1, "a", Lent(99, {"x": 8.0}))
-    borrower.asked[to_a.number] = ("a", 10.25)
-    borrower.receive(11.2, "a", Lent(to_a.number, {"x": 20.0}))
-    assert borrower.budgets["x"].held(11.2) == 8.0
-    assert borrower.budgets["x"].held(11.0 + LEASE_S) == 0.0
+    borrower.pending[to_a.number] = ("a", 10.25)
+    borrower.receive(11.0, "a", LoanGrant(to_a.number, {"x": 20.0}))
+    borrower.receive(11.0, "a", LoanGrant(to_a.number, {"x": 20.0}))
+    assert borrower.budgets["x"].borrowed_units(11.0) == 20.0
+    borrower.pending[99] = ("a", 11.0)
+    borrower.receive(11.1, "a", LoanGrant(99, {"x": 8.0}))
+    borrower.pending[to_a.number] = ("a", 10.25)
+    borrower.receive(11.2, "a", LoanGrant(to_a.number, {"x": 20.0}))
+    assert borrower.budgets["x"].borrowed_units(11.2) == 8.0
+    assert borrower.budgets["x"].borrowed_units(11.0 + LEASE_S) == 0.0
     late = member("b")
-    late.asked[5] = ("a", 10.0)
-    late.receive(10.0 + LEASE_S, "a", Lent(5, {"x": 20.0}))
-    assert late.budgets["x"].held(10.0 + LEASE_S) == 0.0
+    late.pending[5] = ("a", 10.0)
+    late.receive(10.0 + LEASE_S, "a", LoanGrant(5, {"x": 20.0}))
+    assert late.budgets["x"].borrowed_units(10.0 + LEASE_S) == 0.0
 
 
 def test_who_stood_still_past_its_leases_uses_nothing_before_it_has_looked():
     holder = member("b")
-    holder.asked[5] = ("a", 10.0)
-    holder.receive(10.0, "a", Lent(5, {"x": 20.0}))
+    holder.pending[5] = ("a", 10.0)
+    holder.receive(10.0, "a", LoanGrant(5, {"x": 20.0}))
     assert holder.usable("x", 10.1) == 45.0
-    assert holder.usable("x", 10.0 + GAP_S) == 20.0, "its part is unsure already"
+    assert holder.usable("x", 10.0 + STALL_S) == 20.0, "its part is unsure already"
     assert holder.usable("x", 40.0) == 0.0
     looks(holder, 40.0, 40.0, most=2)
     assert holder.usable("x", 40.0) == 25.0, "the stated fleet, for it knows not who came and went"
-    assert holder.receive(40.1, "a", Wanted(1, {"x": 5.0}))
+    assert holder.receive(40.1, "a", LoanRequest(1, {"x": 5.0}))
 
 
 def test_a_clock_that_jumps_ends_no_loan():
     lender = member()
-    lender.receive(10.0, "b", Wanted(1, {"x": 20.0}))
-    lender.receive(40.0, "c", Wanted(1, {"x": 20.0}))
+    lender.receive(10.0, "b", LoanRequest(1, {"x": 20.0}))
+    lender.receive(40.0, "c", LoanRequest(1, {"x": 20.0}))
     looks(lender, 40.25, 41.0)
     assert lender.usable("x", 41.0) == 5.0
     looks(lender, 41.25, 45.0)
@@ -131,24 +139,24 @@
     newcomer = Budgets("a", 4, random.Random(1), 0.0, floor=0.0)
     newcomer.resize("x", 100.0)
     looks(newcomer, 0.0, 1.0)
-    looks(newcomer, 31.0, 31.0 + WAIT_S - 1.25)
-    assert newcomer.usable("x", 31.0 + WAIT_S - 1.25) == 0.0
-    looks(newcomer, 31.0 + WAIT_S - 1.0, 31.0 + WAIT_S)
-    assert newcomer.usable("x", 31.0 + WAIT_S) == 25.0
+    looks(newcomer, 31.0, 31.0 + PART_DELAY_S - 1.25)
+    assert newcomer.usable("x", 31.0 + PART_DELAY_S - 1.25) == 0.0
+    looks(newcomer, 31.0 + PART_DELAY_S - 1.0, 31.0 + PART_DELAY_S)
+    assert newcomer.usable("x", 31.0 + PART_DELAY_S) == 25.0
 
 
 def test_a_liar_gets_what_is_spare_and_cannot_make_rights():
     honest = member()
-    honest.needs("x", 20.0)
-    (told,) = honest.receive(10.0, "liar", Wanted(1, {"x": 1e9}))
+    honest.set_need("x", 20.0)
+    (told,) = honest.receive(10.0, "liar", LoanRequest(1, {"x": 1e9}))
     assert told.message.units["x"] == pytest.approx(3.0) and honest.usable("x", 10.0) == pytest.approx(22.0)
     for units in ({"x": float("nan")}, {"x": -1.0}, {"x": 1e13}, {"": 1.0}, {str(n): 1.0 for n in range(65)}):
-        assert honest.receive(10.0, "liar", Wanted(2, units)) == []
-    assert honest.receive(10.0, "liar", Wanted(3, {"unknown": 1.0}))[0].message.units == {"unknown": 0.0}
-    honest.asked[9] = ("liar", 10.0)
-    honest.receive(10.0, "liar", Lent(9, {"x": 101.0}))
-    honest.receive(10.0, "liar", Lent(77, {"x": 5.0}))
-    assert honest.budgets["x"].held(10.0) == 0.0, "more than there is, and an answer to nothing"
+        assert honest.receive(10.0, "liar", LoanRequest(2, units)) == []
+    assert honest.receive(10.0, "liar", LoanRequest(3, {"unknown": 1.0}))[0].message.units == {"unknown": 0.0}
+    honest.pending[9] = ("liar", 10.0)
+    honest.receive(10.0, "liar", LoanGrant(9, {"x": 101.0}))
+    honest.receive(10.0, "liar", LoanGrant(77, {"x": 5.0}))
+    assert honest.budgets["x"].borrowed_units(10.0) == 0.0, "more than there is, and an answer to nothing"
 
 
 def test_a_floor_is_each_process_s_own_from_its_start_on_and_never_lent():
@@ -157,7 +165,7 @@
     assert newcomer.usable("x", 0.0) == 5.0
     looks(newcomer, 0.0, 10.0)
     assert newcomer.usable("x", 10.0) == pytest.approx(25.0)
-    (told,) = newcomer.receive(10.0, "b", Wanted(1, {"x": 50.0}))
+    (told,) = newcomer.receive(10.0, "b", LoanRequest(1, {"x": 50.0}))
     assert told.message.units == {"x": pytest.approx(20.0)}
     assert newcomer.usable("x", 10.0) == pytest.approx(5.0)
     looks(newcomer, 10.25, 20.0, leased=False)
@@ -170,14 +178,14 @@
     borrower = Budgets("b", 4, random.Random(1), 0.0)
     for number in range(100):
         borrower.resize(f"{number:0190}", 10.0)
-        borrower.needs(f"{number:0190}", 10.0)
+        borrower.set_need(f"{number:0190}", 10.0)
     told = borrower.tick(10.0, Bounds(4, 4, True), ("a", "c"))
     assert len(told) == 2 and all(1 <= len(tell.message.units) <= 6 for tell in told)
 
 
 def test_a_budget_that_is_forgotten_goes_when_its_loans_are_over():
     lender = member()
-    lender.receive(10.0, "b", Wanted(1, {"x": 20.0}))
+    lender.receive(10.0, "b", LoanRequest(1, {"x": 20.0}))
     lender.forget("x")
     looks(lender, 10.25, 11.0)
     assert "x" in lender.budgets and lender.usable("x", 11.0) == 0.0
@@ -198,14 +206,14 @@
 
 
 def newest_count(self, budget, now):
-    if self.acts_from is None or now - self.acts_from < WAIT_S or now - self.looked_at >= GAP_S:
+    if self.active_since is None or now - self.active_since < PART_DELAY_S or now - self.ticked_at >= STALL_S:
         return 0.0
-    return budget.size * (1.0 - self.floor_share) / self.counts[-1][1]
+    return budget.size * (1.0 - self.floor_share) / self.member_counts[-1][1]
 
 
 WEAKER = {
     "the newest count in place of the largest of late": ("Budgets.part", newest_count),
-    "what is lent is not counted": ("Budget.out", lambda self, now, but="": 0.0),
+    "what is lent is not counted": ("Budget.lent_units", lambda self, now, excluding="": 0.0),
     "a loan that the lender ends with the lease of the borrower's question": ("LOAN_S", 0.0),
 }
 
@@ -257,7 +265,7 @@
     world.run(30.0)
     world.set_cut(lambda a, b: world.building[a] != world.building[b])
     world.run(45.0)
-    again = 30.0 + LOAN_S + REST_S + LOOK_S
+    again = 30.0 + LOAN_S + MAX_SEARCH_INTERVAL_S + TICK_INTERVAL_S
     assert all(seen.used >= 0.5 * SIZE * (1.0 - 1e-9) for seen in world.seen if seen.at >= 30.0)
     assert all(seen.used > 0.9 * SIZE for seen in world.seen if seen.at >= again)
     assert not over(world.seen, SIZE)
@@ -293,9 +301,9 @@
 
 
 def no_wait(self, budget, now):
-    if self.acts_from is None or now - self.looked_at >= GAP_S:
+    if self.active_since is None or now - self.ticked_at >= STALL_S:
         return 0.0
-    return budget.size * (1.0 - self.floor_share) / max([3, *(count for _, count in self.counts)])
+    return budget.size * (1.0 - self.floor_share) / max([3, *(count for _, count in self.member_counts)])
 
 
 @pytest.mark.parametrize("weaker, by", [(newest_count, "leave"), (no_wait, "restart")])
--- a/tests/test_sharing_processes.py
+++ b/tests/test_sharing_processes.py
@@ -18,7 +18,7 @@
 from lab.member_cases import cut, healed
 from rushhitch.config.deployment import DeploymentError, parse_deployment
 from rushhitch.sharing.budgets import LOAN_S
-from rushhitch.sharing.messages import Lent, Wanted
+from rushhitch.sharing.messages import LoanGrant, LoanRequest
 from rushhitch.sharing.wire import decode, encode
 
 SIZE = 100.0
@@ -157,7 +157,7 @@
         await fleet.until(lambda: all(usable(fleet, name) > 0.18 * SIZE for name in fleet.names), 30.0)
 
 
-@pytest.mark.parametrize("message", [Wanted(7, {"lane 3": 2.5}), Lent(8, {})])
+@pytest.mark.parametrize("message", [LoanRequest(7, {"lane 3": 2.5}), LoanGrant(8, {})])
 def test_a_message_comes_as_it_was_sent_and_a_later_build_s_fields_are_left_out(message):
     assert decode(encode(message)) == message
     longer = bytearray(encode(message))
