--- a/rushhitch/sharing/__init__.py
+++ b/rushhitch/sharing/__init__.py
@@ -1,1 +1,1 @@
-"""State that dispatchers share, over membership's `View`. No I/O here."""
+"""Budgets that dispatchers share, by the counts of membership's `View`."""
--- a/rushhitch/sharing/server.py
+++ b/rushhitch/sharing/server.py
@@ -1,6 +1,6 @@
-"""The shell round the budgets of one dispatcher: a timer, and membership's datagrams. It decides nothing.
+"""Runs the budgets of one dispatcher: a timer, and I/O by membership's datagrams. No decisions here.
 
-Imported only where `[sharing]` is set.
+Imported only if `[sharing]` is configured.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 log = logging.getLogger(__name__)
 
-BUDGET_IDLE_S = 30.0  # a budget of which nobody asked for so long is forgotten
-WARNING_INTERVAL_S = 10.0  # between two lines on messages that cannot be read
+BUDGET_IDLE_S = 30.0  # a budget that was not used for this long is removed
+WARNING_INTERVAL_S = 10.0  # between log lines about unreadable messages
 
 
 class Membership(Protocol):
-    """What is needed of membership beside its `View`."""
+    """What sharing needs of a member: part of its `View`, and the exchange of payloads with others."""
 
     carried: Callable[[str, bytes], None] | None
     shared: Callable[[], dict[str, Any]] | None
@@ -35,16 +35,17 @@
     def bounds(self, now: float) -> Bounds: ...
 
     def carry(self, name: str, payload: bytes) -> None:
-        """Send it to the member of that name; it may be lost, and comes once at most."""
+        """Send the payload to the member of that name, which receives it at most once."""
 
 
 def clock() -> float:
-    """Seconds that also pass while the machine sleeps, where the system can tell: a lease ends by it."""
+    """Seconds that include suspend where the system supports it, since leases end during suspend too."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) if hasattr(time, "CLOCK_BOOTTIME") else time.monotonic()
 
 
 class Sharing:
-    """One dispatcher's budgets. `needs` gives what it would use of each, by name, since the call before."""
+    """The budgets of one dispatcher. `needs` takes the seconds since its previous call and returns what the
+    dispatcher would use of each budget, by name."""
 
     def __init__(
         self,
@@ -57,7 +58,7 @@
         self.loop = asyncio.get_running_loop()
         self.member, self.needs, self.name = member, needs, name
         self.budgets = Budgets(name, fleet, random.Random(os.urandom(16)), clock(), floor)
-        self.last_used_at: dict[str, float] = {}  # by budget: when a part of it was last asked for
+        self.last_used_at: dict[str, float] = {}  # by budget
         self.ticked_at = clock()
         self.timer: asyncio.TimerHandle | None = None
         self.sent_count = self.unreadable_count = 0
@@ -73,7 +74,7 @@
         self.member.carried = self.member.shared = None
 
     def part(self, name: str, size: float) -> float:
-        """Of a budget of that size, the units that this dispatcher may use now."""
+        """Units of the budget of that size that this dispatcher may use now."""
         now = clock()
         self.last_used_at[name] = now
         self.budgets.resize(name, size)
@@ -90,7 +91,7 @@
             del self.last_used_at[name]
             self.budgets.forget(name)
         seen = self.member.members(self.loop.time())
-        peers = [one.name for one in seen if one.state == State.ALIVE and one.name != self.name]
+        peers = [peer.name for peer in seen if peer.state == State.ALIVE and peer.name != self.name]
         self.send(self.budgets.tick(now, self.member.bounds(self.loop.time()), peers))
 
     def receive(self, sender: str, payload: bytes) -> None:
@@ -100,18 +101,18 @@
             self.unreadable_count += 1
             if clock() - self.warned_at >= WARNING_INTERVAL_S:
                 self.warned_at = clock()
-                words = (self.unreadable_count, sender, error)
-                log.warning("%d messages on budgets cannot be read, the last of %s: %s", *words)
+                details = (self.unreadable_count, sender, error)
+                log.warning("%d budget messages could not be decoded, the last from %s: %s", *details)
             return
         self.send(self.budgets.receive(clock(), sender, message))
 
     def send(self, sends: list[Send]) -> None:
-        for one in sends:
+        for send in sends:
             self.sent_count += 1
-            self.member.carry(one.to, encode(one.message))
+            self.member.carry(send.to, encode(send.message))
 
     def report(self) -> dict[str, Any]:
-        """What `shared` shows: units, and times in seconds."""
+        """The output of the `shared` command: units, and times in seconds."""
         now, budgets = clock(), self.budgets
         return {
             "name": self.name,
@@ -125,15 +126,15 @@
                     "part": round(budgets.part(budget, now), 3),
                     "usable": round(budgets.usable(name, now), 3),
                     "lent": {
-                        to: {
+                        borrower: {
                             "units": round(max(loan.units for loan in loans), 3),
                             "for_s": round(max(loan.until for loan in loans) - now, 2),
                         }
-                        for to, loans in budget.lent.items()
+                        for borrower, loans in budget.lent.items()
                     },
                     "borrowed": {
-                        of: {"units": round(units, 3), "for_s": round(end - now, 2)}
-                        for of, (_, units, end) in budget.borrowed.items()
+                        lender: {"units": round(units, 3), "for_s": round(end - now, 2)}
+                        for lender, (_, units, end) in budget.borrowed.items()
                     },
                 }
                 for name, budget in sorted(budgets.budgets.items())
