--- a/rushhitch/sharing/wire.py
+++ b/rushhitch/sharing/wire.py
@@ -1,5 +1,5 @@
-"""The payloads of what members share, in membership's datagrams: `[what, number, units by budget]`, in
-msgpack. Further fields of a later build are left out."""
+"""Encoding of budget messages, the payloads of membership's datagrams: msgpack of `[kind, number, units by
+budget]`. Additional fields of a later version are ignored."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class _Message(msgspec.Struct, array_like=True):
-    what: int  # the message's place in `KINDS`
+    kind: int  # index in `KINDS`
     number: int
     units: dict[str, float]
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_read = msgspec.msgpack.Decoder(_Message).decode
+_decode = msgspec.msgpack.Decoder(_Message).decode
 
 
 def encode(message: LoanRequest | LoanGrant) -> bytes:
@@ -25,11 +25,11 @@
 
 
 def decode(data: bytes) -> LoanRequest | LoanGrant:
-    """Raises a `ValueError` where it is none."""
+    """Raises `ValueError` if the data is not a message of a known kind."""
     try:
-        told = _read(data)
+        message = _decode(data)
     except msgspec.MsgspecError as error:
         raise ValueError(str(error)) from None
-    if not 0 <= told.what < len(KINDS):
-        raise ValueError(f"a message of unknown kind {told.what}")
-    return KINDS[told.what](told.number, told.units)
+    if not 0 <= message.kind < len(KINDS):
+        raise ValueError(f"unknown kind of budget message: {message.kind}")
+    return KINDS[message.kind](message.number, message.units)
