--- a/tests/test_sharing_processes.py
+++ b/tests/test_sharing_processes.py
@@ -1,4 +1,4 @@
-"""Several processes of the program that share a budget, with faults between them."""
+"""Processes of the program that share a budget, under faults; the wire format; the settings."""
 
 import asyncio
 import bisect
@@ -23,18 +23,18 @@
 
 SIZE = 100.0
 FLOOR = 0.1
-FRESH_S = 0.3  # what a process wrote is what it may use for so long: it writes each 0.04 s
+FRESH_S = 0.3  # a record older than this is ignored: a process writes one every 0.04 s
 
 
-def needs(fleet, **units):
-    """What each would use from now on."""
+def set_needs(fleet, **units):
+    """Set what each running process would use from now on; 0 for those not named."""
     for name in fleet.names:
         if fleet.processes.get(name) is None or fleet.processes[name].returncode is None:
             fleet.falls_ill(name, needs={"x": [SIZE, units.get(name, 0.0)]})
 
 
 def records(fleet):
-    """By process of the program, the times at which it wrote and what it could use and would."""
+    """By process: the time of each record, the usable units, and those that it would use."""
     found = defaultdict(list)
     for name in fleet.names:
         path = fleet.folder / f"{name}.used"
@@ -46,7 +46,7 @@
 
 
 def sums(fleet, since=0.0):
-    """At each moment from then on that anybody wrote: what all could use, and what they would."""
+    """For each record since that time: the time, the units usable by all, and those that they would use."""
     lines = {name: (entries, [at for at, _, _ in entries]) for name, entries in records(fleet).items()}
     moments = sorted({at for _, times in lines.values() for at in times})
     for moment in moments[bisect.bisect_left(moments, since) :]:
@@ -59,7 +59,7 @@
 
 
 class Sharers(MemberFleet):
-    """Every process has its needs told by a file."""
+    """A fleet whose processes read their needs from a file."""
 
     async def __aenter__(self):
         for name in self.names:
@@ -67,15 +67,15 @@
         return await super().__aenter__()
 
 
-def with_sharers(tmp_path, size=4, seconds=60.0, **told):
+def with_sharers(tmp_path, size=4, seconds=60.0, **options):
     def decorate(test):
         async def work():
-            async with Sharers(tmp_path, size, TOLD, floor=FLOOR, **told) as fleet:
+            async with Sharers(tmp_path, size, TOLD, floor=FLOOR, **options) as fleet:
                 await fleet.until(fleet.all_there, MEET_S)
                 await test(fleet)
-            seen = list(sums(fleet))
-            over = [moment for moment in seen if moment[1] > SIZE * (1.0 + 1e-6)]
-            assert len(seen) > 100 and not over, f"{len(over)} moments over the budget, the first {over[0]}"
+            moments = list(sums(fleet))
+            over = [moment for moment in moments if moment[1] > SIZE * (1.0 + 1e-6)]
+            assert len(moments) > 100 and not over, f"{len(over)} moments over the budget, first {over[0]}"
 
         asyncio.run(asyncio.wait_for(work(), seconds))
 
@@ -83,12 +83,12 @@
 
 
 def usable(fleet, name):
-    """As it last wrote it."""
+    """The usable units in the last record of the process."""
     return records(fleet)[name][-1][1]
 
 
 def used_up(fleet, since, seconds):
-    """Whether after that moment nearly all was in use for so long without a break."""
+    """Whether since that time over 90% of the budget was in use for `seconds` without interruption."""
     begun = None
     for at, _, used in sums(fleet, since):
         if used <= 0.9 * SIZE:
@@ -100,50 +100,52 @@
     return False
 
 
-def test_the_one_that_needs_all_gets_nearly_all_and_one_that_stood_still_does_not_go_on_with_it(tmp_path):
+def test_the_only_member_in_need_gets_nearly_all_and_loses_its_loans_if_it_stalls(tmp_path):
     @with_sharers(tmp_path)
     async def _(fleet):
-        needs(fleet, d0=SIZE)
+        set_needs(fleet, d0=SIZE)
         await fleet.until(lambda: usable(fleet, "d0") > 0.9 * SIZE, 25.0)
         env = dict(os.environ) | {"RUSHHITCH_TOML": str(tmp_path / "d1.toml")}
         address = "{}:{}".format(*fleet.ways.real["d0"])
         command = [sys.executable, "-m", "rushhitch", "shared", address]
-        words = {"cwd": ROOT, "env": env, "capture_output": True, "text": True}
-        told = await asyncio.to_thread(subprocess.run, command, **words)
-        assert told.returncode == 0 and told.stdout.count("for") >= 3 and "borrowed" in told.stdout, told
-        told = json.loads((await asyncio.to_thread(subprocess.run, [*command, "--json"], **words)).stdout)
-        assert set(told["budgets"]["x"]["borrowed"]) == {"d1", "d2", "d3"}
+        options = {"cwd": ROOT, "env": env, "capture_output": True, "text": True}
+        result = await asyncio.to_thread(subprocess.run, command, **options)
+        assert result.returncode == 0 and result.stdout.count("for") >= 3, result
+        assert "borrowed" in result.stdout, result
+        result = await asyncio.to_thread(subprocess.run, [*command, "--json"], **options)
+        report = json.loads(result.stdout)
+        assert set(report["budgets"]["x"]["borrowed"]) == {"d1", "d2", "d3"}
         fleet.watch.stands_still("d0", 6.0)
         fleet.processes["d0"].send_signal(signal.SIGSTOP)
-        needs(fleet, d0=SIZE, d1=SIZE, d2=SIZE, d3=SIZE)
+        set_needs(fleet, d0=SIZE, d1=SIZE, d2=SIZE, d3=SIZE)
         await fleet.until(lambda: all(usable(fleet, name) > 0.2 * SIZE for name in ("d1", "d2", "d3")), 8.0)
         before = len(records(fleet)["d0"])
         fleet.processes["d0"].send_signal(signal.SIGCONT)
         await fleet.until(lambda: len(records(fleet)["d0"]) > before)
-        assert records(fleet)["d0"][before][1] <= 0.3 * SIZE, "what it had borrowed was over"
+        assert records(fleet)["d0"][before][1] <= 0.3 * SIZE, "its loans had ended"
 
 
-def test_halves_that_hear_nothing_of_each_other_share_among_themselves_and_pass_nothing(tmp_path):
+def test_partitioned_halves_share_among_themselves_and_do_not_exceed_the_budget(tmp_path):
     @with_sharers(tmp_path, buildings=2)
     async def _(fleet):
-        needs(fleet, d0=SIZE, d1=SIZE)
+        set_needs(fleet, d0=SIZE, d1=SIZE)
         await fleet.until(lambda: usable(fleet, "d0") + usable(fleet, "d1") > 0.9 * SIZE, 25.0)
         fleet.watch.strike(cut(lambda a, b: fleet.building[a] != fleet.building[b]))
         across = [(a, b) for a in fleet.names for b in fleet.names if fleet.building[a] != fleet.building[b]]
-        over = time.monotonic() + LOAN_S  # then nothing is used of what was lent from one half to the other
+        loans_end = time.monotonic() + LOAN_S  # of all loans from one half to the other
         await fleet.until(lambda: all(fleet.states(a).get(b) == "gone" for a, b in across), 15.0)
-        # For longer than a loan: it was lent anew within each half. How soon is told by virtual time, in
-        # `test_sharing.py`: when a loan ends, and when one asks again, hangs on moments before the cut.
-        await fleet.until(lambda: used_up(fleet, over, LOAN_S), 20.0)
-        assert all(fleet.states(a).get(b) == "gone" for a, b in across), "they were apart all the time"
+        # Used for longer than a loan lasts, so it was lent again within each half. `test_sharing.py` checks
+        # how soon, in virtual time: when loans end and are requested depends on the time before the cut.
+        await fleet.until(lambda: used_up(fleet, loans_end, LOAN_S), 20.0)
+        assert all(fleet.states(a).get(b) == "gone" for a, b in across), "the halves met during the cut"
         fleet.watch.strike(healed)
         await fleet.until(fleet.all_there, 20.0)
 
 
-def test_of_the_killed_nothing_is_used_and_those_that_start_again_wait_with_their_floor(tmp_path):
+def test_killed_members_use_nothing_and_restarted_ones_have_only_their_floor_at_first(tmp_path):
     @with_sharers(tmp_path, size=5)
     async def _(fleet):
-        needs(fleet, d0=SIZE)
+        set_needs(fleet, d0=SIZE)
         await fleet.until(lambda: usable(fleet, "d0") > 0.9 * SIZE, 25.0)
         dead = ("d0", "d1", "d2")
         await asyncio.gather(*map(fleet.kill, dead))
@@ -153,12 +155,12 @@
         await asyncio.gather(*map(fleet.start, dead))
         await fleet.until(lambda: len(records(fleet)["d0"]) > 5)
         assert records(fleet)["d0"][0][1] == pytest.approx(FLOOR * SIZE / 5)
-        needs(fleet, d0=SIZE, d1=SIZE, d2=SIZE, d3=SIZE, d4=SIZE)
+        set_needs(fleet, d0=SIZE, d1=SIZE, d2=SIZE, d3=SIZE, d4=SIZE)
         await fleet.until(lambda: all(usable(fleet, name) > 0.18 * SIZE for name in fleet.names), 30.0)
 
 
 @pytest.mark.parametrize("message", [LoanRequest(7, {"lane 3": 2.5}), LoanGrant(8, {})])
-def test_a_message_comes_as_it_was_sent_and_a_later_build_s_fields_are_left_out(message):
+def test_message_survives_encoding_and_fields_of_a_later_version_are_ignored(message):
     assert decode(encode(message)) == message
     longer = bytearray(encode(message))
     assert longer[0] == 0x93
@@ -167,18 +169,18 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"\x93\x07\x01\x80", b"\x93\x00\x01\x81\xa1x\xa1y", b"\xff" * 50])
-def test_what_is_no_message_is_an_error(data):
+def test_malformed_message_raises_value_error(data):
     with pytest.raises(ValueError):
         decode(data)
 
 
-def test_settings_of_sharing_are_checked(tmp_path):
+def test_sharing_settings_are_validated(tmp_path):
     secret = tmp_path / "secret"
     secret.write_bytes(b"s" * 16)
     member = '[membership]\nlisten = "127.0.0.1:7101"\nseeds = ["127.0.0.1:7101"]\n'
     member += f'secret_file = "{secret}"\n'
-    own = parse_deployment(member + "[sharing]\nfloor = 0.2\n", "f")
-    assert own.sharing is not None and own.sharing.floor == 0.2
+    deployment = parse_deployment(member + "[sharing]\nfloor = 0.2\n", "f")
+    assert deployment.sharing is not None and deployment.sharing.floor == 0.2
     assert parse_deployment(member + "[sharing]\n", "f").sharing.floor == 0.1
     assert parse_deployment(member, "f").sharing is None
     with pytest.raises(DeploymentError, match=r"f:6: floor must be a share from 0.01 to 0.9, not 1"):
