--- a/tests/test_sharing_processes.py
+++ b/tests/test_sharing_processes.py
@@ -109,11 +109,9 @@
         address = "{}:{}".format(*fleet.ways.real["d0"])
         command = [sys.executable, "-m", "rushhitch", "shared", address]
         options = {"cwd": ROOT, "env": env, "capture_output": True, "text": True}
-        result = await asyncio.to_thread(subprocess.run, command, **options)
-        assert result.returncode == 0 and result.stdout.count("for") >= 3, result
-        assert "borrowed" in result.stdout, result
-        result = await asyncio.to_thread(subprocess.run, [*command, "--json"], **options)
-        report = json.loads(result.stdout)
+        shown = await asyncio.to_thread(subprocess.run, command, **options)
+        assert shown.returncode == 0 and shown.stdout.count("for") >= 3 and "borrowed" in shown.stdout, shown
+        report = json.loads((await asyncio.to_thread(subprocess.run, [*command, "--json"], **options)).stdout)
         assert set(report["budgets"]["x"]["borrowed"]) == {"d1", "d2", "d3"}
         fleet.watch.stands_still("d0", 6.0)
         fleet.processes["d0"].send_signal(signal.SIGSTOP)
