--- a/rushhitch/sharing/messages.py
+++ b/rushhitch/sharing/messages.py
@@ -1,5 +1,5 @@
-"""What members tell each other of budgets. A number means something to its sender alone, and no time goes
-over the wire: an answer counts by when its question was sent, on the clock of who asked."""
+"""Messages between members about budgets. A request number is meaningful to its sender only. Messages carry
+no times: a loan runs from when its request was sent, by the clock of the borrower."""
 
 from __future__ import annotations
 
@@ -7,40 +7,39 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-MOST_BUDGETS = 64  # in one message: what has no room goes with the next
-MOST_BYTES = 1_200  # of names and units: below a datagram's limit
-UNIT_BYTES = 12  # of a budget in a message, beside its name
-MOST_NAME = 200  # characters
-MOST_UNITS = 1e12
+MAX_BUDGETS = 64  # per message; the others follow in later messages
+MAX_PAYLOAD_BYTES = 1_200  # of names and units: below the limit of a datagram
+ENTRY_BYTES = 12  # per budget in a message, beside its name
+MAX_NAME_LENGTH = 200  # characters
+MAX_UNITS = 1e12
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """Asks to borrow rights, by budget: all that the asker wants to hold of this lender, what it holds now
-    included."""
+class LoanRequest:
+    """Asks a lender for units, by budget: the total to be borrowed from it, existing loans included."""
 
     number: int
     units: Mapping[str, float]
 
-    def sound(self) -> bool:
-        """Whether it is one that a member can have sent."""
-        return len(self.units) <= MOST_BUDGETS and all(
-            0 < len(name) <= MOST_NAME and math.isfinite(units) and 0.0 <= units < MOST_UNITS
+    def is_valid(self) -> bool:
+        """Whether a correct member can have sent this request."""
+        return len(self.units) <= MAX_BUDGETS and all(
+            0 < len(name) <= MAX_NAME_LENGTH and math.isfinite(units) and 0.0 <= units < MAX_UNITS
             for name, units in self.units.items()
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Lent:
-    """Answers it: what the asker may use of the lender's rights from then on, in place of all before."""
+class LoanGrant:
+    """The answer: units that the borrower may use from now on, in place of earlier loans from the lender."""
 
-    number: int
+    number: int  # of the request
     units: Mapping[str, float]
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Send that to the member of that name."""
+class Send:
+    """Send the message to the member of that name."""
 
     to: str
-    message: Wanted | Lent
+    message: LoanRequest | LoanGrant
