--- a/rushhitch/cloudevents/http.py
+++ b/rushhitch/cloudevents/http.py
@@ -32,7 +32,7 @@
 PREFIX = "ce-"
 MOST_EVENTS = 1_000  # in one batch
 MOST_JSON = 2 * MOST_DATA  # bytes of one event: base64 and attributes
-MOST_BATCH = 1_048_576  # bytes of a batch
+MAX_BATCH_BYTES = 1_048_576  # bytes of a batch
 Headers = Iterable[tuple[str, str]]
 
 _read_object = msgspec.json.Decoder(dict[str, msgspec.Raw]).decode
@@ -111,8 +111,8 @@
 
 
 def decode_batch(body: bytes) -> list[Event | BadEvent]:
-    if len(body) > MOST_BATCH:
-        raise BadEvent(f"a batch of {len(body)} bytes, more than {MOST_BATCH}: send several", status=413)
+    if len(body) > MAX_BATCH_BYTES:
+        raise BadEvent(f"a batch of {len(body)} bytes, more than {MAX_BATCH_BYTES}: send several", status=413)
     try:
         rows = _read_array(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -20,7 +20,7 @@
 
 from rushhitch.acceptor import Acceptor, BadRequest, Pending, Reply, Submission
 from rushhitch.cloudevents.events import BadEvent, Event
-from rushhitch.cloudevents.http import MOST_BATCH, decode
+from rushhitch.cloudevents.http import MAX_BATCH_BYTES, decode
 from rushhitch.cloudevents.mapping import Rules, acknowledgement, placed
 from rushhitch.fronts.client_connection import ClientConnection, Close, ConnectionOwner, Fault, Slot
 
@@ -266,8 +266,8 @@
                     return
             elif isinstance(event, h11.Data):
                 self.body += event.data
-                if len(self.body) > MOST_BATCH:
-                    what = f"a body of more than {MOST_BATCH} bytes: send several"
+                if len(self.body) > MAX_BATCH_BYTES:
+                    what = f"a body of more than {MAX_BATCH_BYTES} bytes: send several"
                     self.turn_away(Outcome.problem(413, what))
                     return
             elif isinstance(event, h11.EndOfMessage):
@@ -297,8 +297,8 @@
             # Guards against requests that a proxy before us takes apart otherwise (RFC 9112, section 6.1).
             return Outcome.problem(400, "Content-Length beside Transfer-Encoding: send one of them")
         for name, value in request.headers:
-            if name == b"content-length" and int(value) > MOST_BATCH:
-                return Outcome.problem(413, f"a body of {int(value)} bytes, more than {MOST_BATCH}")
+            if name == b"content-length" and int(value) > MAX_BATCH_BYTES:
+                return Outcome.problem(413, f"a body of {int(value)} bytes, more than {MAX_BATCH_BYTES}")
         return None
 
     def take(self) -> None:
--- a/tests/test_fronts_cloudevents.py
+++ b/tests/test_fronts_cloudevents.py
@@ -9,7 +9,7 @@
 from test_node import Bench
 
 from rushhitch.acceptor import DELIVERED, FAILED
-from rushhitch.cloudevents.http import BATCH, MOST_BATCH, STRUCTURED
+from rushhitch.cloudevents.http import BATCH, MAX_BATCH_BYTES, STRUCTURED
 from rushhitch.cloudevents.mapping import Rules
 from rushhitch.core.node import Node
 from rushhitch.core.remembered_ends import End, RememberedEnds
@@ -382,7 +382,7 @@
         client = await front.connect()
         client.writer.write(b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n")
         chunk = b"10000\r\n" + bytes(65_536) + b"\r\n"
-        for _ in range(MOST_BATCH // 65_536 + 1):
+        for _ in range(MAX_BATCH_BYTES // 65_536 + 1):
             client.writer.write(chunk)
         assert (await client.answer())[0] == 413
         assert front.clients.begun == 0
