--- a/rushhitch/endpoints.py
+++ b/rushhitch/endpoints.py
@@ -16,7 +16,7 @@
 
 from crowpier.interface import Outcome, Settings, State
 from rushhitch.connection import Connection, Headers, NotSent
-from rushhitch.partners.codec import Attempt, Codec, Ends, MessageEnd
+from rushhitch.partners.codec import Attempt, AttemptResult, Codec, Ends
 from rushhitch.partners.platform import Platform, head_end
 
 log = logging.getLogger(__name__)
@@ -305,11 +305,11 @@
         if call is None:
             return
         if len(call.open) > 1:
-            self.end(call, call.open[message, number], MessageEnd(Outcome.CANCELLED))
+            self.end(call, call.open[message, number], AttemptResult(Outcome.CANCELLED))
         elif call.task is not None:
             call.task.cancel()
 
-    def end(self, call: Call, attempt: Attempt, told: MessageEnd) -> None:
+    def end(self, call: Call, attempt: Attempt, told: AttemptResult) -> None:
         key = (attempt.message, attempt.number)
         if call.open.pop(key, None) is None:
             return
@@ -331,7 +331,7 @@
             )
         )
 
-    def end_all(self, call: Call, told: MessageEnd) -> None:
+    def end_all(self, call: Call, told: AttemptResult) -> None:
         for attempt in list(call.open.values()):
             self.end(call, attempt, told)
 
@@ -421,19 +421,19 @@
             self.close(connection)
 
     @staticmethod
-    def broken(connection: Connection | None, call: Call, broken: Outcome) -> MessageEnd:
+    def broken(connection: Connection | None, call: Call, broken: Outcome) -> AttemptResult:
         """What became of each message of a call that did not come to a clean end."""
         if broken is Outcome.NOT_EXECUTED:
-            return MessageEnd(Outcome.NOT_EXECUTED)
+            return AttemptResult(Outcome.NOT_EXECUTED)
         if connection is None or not connection.written:
-            return MessageEnd(broken if broken is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
+            return AttemptResult(broken if broken is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
         if len(call.ids) == 1 and call.codec.delivered(connection.response_start):
             call.later = call.codec.later(int(connection.response_start[9:12]))
-            return MessageEnd(Outcome.OK, delivered=True)
+            return AttemptResult(Outcome.OK, delivered=True)
         final = call.codec.final(connection.response_start)
         if broken is Outcome.TIMEOUT and connection.response_start:
-            return MessageEnd(Outcome.ERROR, final=final)  # its answer began and did not end
-        return MessageEnd(broken, final=final)
+            return AttemptResult(Outcome.ERROR, final=final)  # its answer began and did not end
+        return AttemptResult(broken, final=final)
 
     async def record(self, call: Call, attempts: list[Attempt]) -> bool:
         """The journal tells of a call's attempts right before its last byte: what never left is not taken for
@@ -456,7 +456,7 @@
         further connection of a call takes it anew."""
         for attempt in list(call.open.values()):
             if not self.may_send(attempt):
-                self.end(call, attempt, MessageEnd(Outcome.NOT_EXECUTED))
+                self.end(call, attempt, AttemptResult(Outcome.NOT_EXECUTED))
         attempts = [attempt for attempt in attempts if (attempt.message, attempt.number) in call.open]
         call.ids = [attempt.id for attempt in attempts]
         return attempts
@@ -515,7 +515,7 @@
             # up may be given up as a whole, and then its answer counts for none. It proves neither that the
             # others ran nor that they did not. One that is over there by its word is not called again.
             return {
-                name: MessageEnd(Outcome.ERROR, final=told.final or told.delivered)
+                name: AttemptResult(Outcome.ERROR, final=told.final or told.delivered)
                 for name, told in ends.items()
             }
         return ends
--- a/rushhitch/partners/cloudevents.py
+++ b/rushhitch/partners/cloudevents.py
@@ -17,7 +17,7 @@
 from crowpier.interface import Outcome
 from rushhitch.cloudevents.events import SPECVERSION, Event
 from rushhitch.cloudevents.http import encode_batch, encode_binary, encode_structured
-from rushhitch.partners.codec import Attempt, Ends, MessageEnd, Written
+from rushhitch.partners.codec import Attempt, AttemptResult, Ends, Written
 
 MODES = ("binary", "structured", "batch")
 MOST_WAIT_MS = 86_400_000.0  # a day: a longer wait is taken for a fault, and would bar a partner for good
@@ -108,12 +108,12 @@
     return min(max((at.timestamp() - now) * 1000.0, 0.0), MOST_WAIT_MS)
 
 
-def outcome(status: int) -> MessageEnd:
+def outcome(status: int) -> AttemptResult:
     """What a status says of an event; the table is in docs/operators/cloudevents.md."""
     if 200 <= status < 300:
-        return MessageEnd(Outcome.OK, delivered=True)
+        return AttemptResult(Outcome.OK, delivered=True)
     if status in REFUSED:
-        return MessageEnd(Outcome.FULL)
+        return AttemptResult(Outcome.FULL)
     if status in MAY_HAVE_RUN or status >= 500:
-        return MessageEnd(Outcome.ERROR)
-    return MessageEnd(Outcome.NOT_EXECUTED)  # 3xx and 4xx: it was not handled; redirects are not followed
+        return AttemptResult(Outcome.ERROR)
+    return AttemptResult(Outcome.NOT_EXECUTED)  # 3xx and 4xx: it was not handled; redirects are not followed
--- a/rushhitch/partners/codec.py
+++ b/rushhitch/partners/codec.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MessageEnd:
+class AttemptResult:
     """What an answer says of a message: the outcome of its attempt, whether that `delivered` it, and whether
     it is `final`, so that no further attempt can succeed."""
 
@@ -21,7 +21,7 @@
     final: bool = False
 
 
-Ends = dict[bytes, MessageEnd]  # by id
+Ends = dict[bytes, AttemptResult]  # by id
 
 
 @dataclass(frozen=True, slots=True)
--- a/rushhitch/partners/platform.py
+++ b/rushhitch/partners/platform.py
@@ -8,16 +8,16 @@
 import h11
 
 from crowpier.interface import Outcome
-from rushhitch.partners.codec import Attempt, Ends, MessageEnd, Written
+from rushhitch.partners.codec import Attempt, AttemptResult, Ends, Written
 
 DELIVERED = re.compile(rb"HTTP/1\.[01] 200( [^\n]*)?\r?\n")
 FINAL = re.compile(rb"HTTP/1\.[01] (410|504)( [^\n]*)?\r?\n")
 UNREADABLE = (400, 413)  # a batch that cannot be read, or holds too many: none of it has run
-DELIVERY = MessageEnd(Outcome.OK, delivered=True)
-MAY_HAVE_RUN = MessageEnd(Outcome.ERROR)
-TURNED_AWAY = MessageEnd(Outcome.FULL)
-NOT_SENT = MessageEnd(Outcome.NOT_EXECUTED)
-NEVER_TO_RUN = MessageEnd(
+DELIVERY = AttemptResult(Outcome.OK, delivered=True)
+MAY_HAVE_RUN = AttemptResult(Outcome.ERROR)
+TURNED_AWAY = AttemptResult(Outcome.FULL)
+NOT_SENT = AttemptResult(Outcome.NOT_EXECUTED)
+NEVER_TO_RUN = AttemptResult(
     Outcome.NOT_EXECUTED, final=True
 )  # the message is over, or has had all its attempts
 ENDS = {  # of a message in a batch
@@ -76,7 +76,7 @@
         return DELIVERED.match(head) is not None
 
 
-def head_end(response: h11.Response) -> MessageEnd:
+def head_end(response: h11.Response) -> AttemptResult:
     """What the head of an answer says of each message in its call."""
     match response.status_code:
         case 200:
--- a/tests/test_partners_cloudevents.py
+++ b/tests/test_partners_cloudevents.py
@@ -17,7 +17,7 @@
 from rushhitch.core.endpoint_registry import with_unbatched_kinds
 from rushhitch.core.node import Node
 from rushhitch.partners.cloudevents import MODES, MOST_WAIT_MS, CloudEvents, retry_after_ms
-from rushhitch.partners.codec import Attempt, MessageEnd
+from rushhitch.partners.codec import Attempt, AttemptResult
 
 ATTRIBUTES = {"specversion": "1.0", "id": "ä 1", "source": "/books", "type": "com.example.paid", "seq": 7}
 NOW = 1_790_000_000.0  # 2026-09-21T14:13:20Z
@@ -78,7 +78,7 @@
     assert [event.text("id") for event in events] == ["ä 1", "2"]
     response = h11.Response(status_code=204, headers=[])
     assert codec("batch").ends(response, b"", [b"a", b"b"]) == dict.fromkeys(
-        (b"a", b"b"), MessageEnd(Outcome.OK, delivered=True)
+        (b"a", b"b"), AttemptResult(Outcome.OK, delivered=True)
     )
 
 
@@ -89,10 +89,10 @@
 @pytest.mark.parametrize(
     ("statuses", "end"),
     [
-        ((200, 201, 202, 204), MessageEnd(Outcome.OK, delivered=True)),
-        ((429, 503), MessageEnd(Outcome.FULL)),
-        ((301, 307, 308, 400, 401, 403, 404, 408, 410, 413, 415, 422), MessageEnd(Outcome.NOT_EXECUTED)),
-        ((409, 423, 424, 500, 502, 504, 599), MessageEnd(Outcome.ERROR)),
+        ((200, 201, 202, 204), AttemptResult(Outcome.OK, delivered=True)),
+        ((429, 503), AttemptResult(Outcome.FULL)),
+        ((301, 307, 308, 400, 401, 403, 404, 408, 410, 413, 415, 422), AttemptResult(Outcome.NOT_EXECUTED)),
+        ((409, 423, 424, 500, 502, 504, 599), AttemptResult(Outcome.ERROR)),
     ],
 )
 def test_each_status_has_its_meaning(statuses, end):
