--- a/rushhitch/endpoints.py
+++ b/rushhitch/endpoints.py
@@ -16,7 +16,7 @@
 
 from crowpier.interface import Outcome, Settings, State
 from rushhitch.connection import Connection, Headers, NotSent
-from rushhitch.partners.codec import Attempt, AttemptResult, Codec, Ends
+from rushhitch.partners.codec import Attempt, AttemptResult, Codec, ResultsById
 from rushhitch.partners.platform import Platform, head_end
 
 log = logging.getLogger(__name__)
@@ -498,7 +498,7 @@
         record = functools.partial(self.record, call, attempts)
         await connection.send("POST", written.target, written.headers, written.body, commit, record)
 
-    async def answer(self, connection: Connection, call: Call) -> Ends:
+    async def answer(self, connection: Connection, call: Call) -> ResultsById:
         """How each message ended. Guards against spoilt answers: one counts when the whole of it is read."""
         response = await connection.response()
         call.wait = call.codec.wait_ms(response, time.time())
--- a/rushhitch/partners/cloudevents.py
+++ b/rushhitch/partners/cloudevents.py
@@ -17,7 +17,7 @@
 from crowpier.interface import Outcome
 from rushhitch.cloudevents.events import SPECVERSION, Event
 from rushhitch.cloudevents.http import encode_batch, encode_binary, encode_structured
-from rushhitch.partners.codec import Attempt, AttemptResult, Ends, Written
+from rushhitch.partners.codec import Attempt, AttemptResult, ResultsById, Written
 
 MODES = ("binary", "structured", "batch")
 MOST_WAIT_MS = 86_400_000.0  # a day: a longer wait is taken for a fault, and would bar a partner for good
@@ -87,7 +87,7 @@
     def withdrawn(self, response: h11.Response) -> bool:
         return response.status_code == GONE
 
-    def ends(self, response: h11.Response, body: bytes, ids: list[bytes]) -> Ends:
+    def ends(self, response: h11.Response, body: bytes, ids: list[bytes]) -> ResultsById:
         return dict.fromkeys(ids, outcome(response.status_code))
 
     def final(self, head: bytes) -> bool:
--- a/rushhitch/partners/platform.py
+++ b/rushhitch/partners/platform.py
@@ -8,7 +8,7 @@
 import h11
 
 from crowpier.interface import Outcome
-from rushhitch.partners.codec import Attempt, AttemptResult, Ends, Written
+from rushhitch.partners.codec import Attempt, AttemptResult, ResultsById, Written
 
 DELIVERED = re.compile(rb"HTTP/1\.[01] 200( [^\n]*)?\r?\n")
 FINAL = re.compile(rb"HTTP/1\.[01] (410|504)( [^\n]*)?\r?\n")
@@ -62,7 +62,7 @@
     def withdrawn(self, response: h11.Response) -> bool:
         return False
 
-    def ends(self, response: h11.Response, body: bytes, ids: list[bytes]) -> Ends:
+    def ends(self, response: h11.Response, body: bytes, ids: list[bytes]) -> ResultsById:
         if len(ids) > 1 and response.status_code == 200:
             return batch_ends(body, ids)
         if len(ids) > 1 and response.status_code in UNREADABLE:
@@ -91,7 +91,7 @@
     return MAY_HAVE_RUN
 
 
-def batch_ends(body: bytes, ids: list[bytes]) -> Ends:
+def batch_ends(body: bytes, ids: list[bytes]) -> ResultsById:
     """What the answer to a batch says of each message; one that is not whole and well-formed is spoilt."""
     told = [line.rpartition(b" ") for line in body.removesuffix(b"\r\n").split(b"\r\n")]
     ends = {name: ENDS[end] for name, _, end in told if end in ENDS}
