--- a/rushhitch/endpoints.py
+++ b/rushhitch/endpoints.py
@@ -17,7 +17,7 @@
 from crowpier.interface import Outcome, Settings, State
 from rushhitch.connection import Connection, Headers, NotSent
 from rushhitch.partners.codec import Attempt, AttemptResult, Codec, ResultsById
-from rushhitch.partners.platform import Platform, head_end
+from rushhitch.partners.platform import Platform, result_from_head
 
 log = logging.getLogger(__name__)
 
@@ -555,7 +555,7 @@
                 if not self.barred(endpoint, connection):
                     outcome = Outcome.RESET
                     response = await self.talk(connection, "GET", "/alive", [])
-                    outcome = head_end(response).outcome
+                    outcome = result_from_head(response).outcome
         except TimeoutError:
             outcome = Outcome.TIMEOUT if connection is not None else outcome
         except (OSError, h11.ProtocolError) as error:
--- a/rushhitch/partners/platform.py
+++ b/rushhitch/partners/platform.py
@@ -67,7 +67,7 @@
             return batch_ends(body, ids)
         if len(ids) > 1 and response.status_code in UNREADABLE:
             return dict.fromkeys(ids, NOT_SENT)
-        return dict.fromkeys(ids, head_end(response))
+        return dict.fromkeys(ids, result_from_head(response))
 
     def final(self, head: bytes) -> bool:
         return FINAL.match(head) is not None
@@ -76,7 +76,7 @@
         return DELIVERED.match(head) is not None
 
 
-def head_end(response: h11.Response) -> AttemptResult:
+def result_from_head(response: h11.Response) -> AttemptResult:
     """What the head of an answer says of each message in its call."""
     match response.status_code:
         case 200:
