--- a/rushhitch/endpoints.py
+++ b/rushhitch/endpoints.py
@@ -428,7 +428,7 @@
         if connection is None or not connection.written:
             return AttemptResult(broken if broken is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
         if len(call.ids) == 1 and call.codec.delivered(connection.response_start):
-            call.later = call.codec.later(int(connection.response_start[9:12]))
+            call.later = call.codec.expects_acknowledgement(int(connection.response_start[9:12]))
             return AttemptResult(Outcome.OK, delivered=True)
         final = call.codec.final(connection.response_start)
         if broken is Outcome.TIMEOUT and connection.response_start:
@@ -506,7 +506,7 @@
             lane = self.entries[call.endpoint].lane
             self.waits[lane] = max(self.waits.get(lane, 0.0), self.loop.time() + call.wait / 1000.0)
         body = await connection.body(MOST_ANSWER)
-        call.later = call.codec.later(response.status_code)
+        call.later = call.codec.expects_acknowledgement(response.status_code)
         if call.codec.withdrawn(response):
             self.withdrawn(call.endpoint)
         ends = call.codec.ends(response, body, call.ids)
--- a/rushhitch/partners/cloudevents.py
+++ b/rushhitch/partners/cloudevents.py
@@ -81,7 +81,7 @@
                 return retry_after_ms(value.decode("latin-1").strip(), now)
         return 0.0
 
-    def later(self, status: int) -> bool:
+    def expects_acknowledgement(self, status: int) -> bool:
         return self.acknowledged and status == ACCEPTED
 
     def withdrawn(self, response: h11.Response) -> bool:
--- a/rushhitch/partners/codec.py
+++ b/rushhitch/partners/codec.py
@@ -62,7 +62,7 @@
     def wait_ms(self, response: h11.Response, now: float) -> float:
         """The wait in milliseconds that an answer tells, 0 without one; `now` is Unix time in seconds."""
 
-    def later(self, status: int) -> bool:
+    def expects_acknowledgement(self, status: int) -> bool:
         """Whether an answer of that status, a delivery otherwise, says that an acknowledgement is to come."""
 
     def withdrawn(self, response: h11.Response) -> bool:
--- a/rushhitch/partners/platform.py
+++ b/rushhitch/partners/platform.py
@@ -56,7 +56,7 @@
                 return wait if 0 < wait < math.inf else 0.0
         return 0.0
 
-    def later(self, status: int) -> bool:
+    def expects_acknowledgement(self, status: int) -> bool:
         return False
 
     def withdrawn(self, response: h11.Response) -> bool:
