--- a/rushhitch/endpoints.py
+++ b/rushhitch/endpoints.py
@@ -509,7 +509,7 @@
         call.later = call.codec.expects_acknowledgement(response.status_code)
         if call.codec.withdrawn(response):
             self.withdrawn(call.endpoint)
-        ends = call.codec.ends(response, body, call.ids)
+        ends = call.codec.results(response, body, call.ids)
         if len(call.open) < len(call.ids):
             # Guards against messages that are lost: to the other side, a call of which one message was given
             # up may be given up as a whole, and then its answer counts for none. It proves neither that the
--- a/rushhitch/partners/cloudevents.py
+++ b/rushhitch/partners/cloudevents.py
@@ -87,7 +87,7 @@
     def withdrawn(self, response: h11.Response) -> bool:
         return response.status_code == GONE
 
-    def ends(self, response: h11.Response, body: bytes, ids: list[bytes]) -> ResultsById:
+    def results(self, response: h11.Response, body: bytes, ids: list[bytes]) -> ResultsById:
         return dict.fromkeys(ids, outcome(response.status_code))
 
     def final(self, head: bytes) -> bool:
--- a/rushhitch/partners/codec.py
+++ b/rushhitch/partners/codec.py
@@ -68,7 +68,7 @@
     def withdrawn(self, response: h11.Response) -> bool:
         """Whether an answer says that nothing is wanted at this address any more."""
 
-    def ends(self, response: h11.Response, body: bytes, ids: list[bytes]) -> ResultsById:
+    def results(self, response: h11.Response, body: bytes, ids: list[bytes]) -> ResultsById:
         """What a whole answer says of each message. An `h11.RemoteProtocolError` where it is spoilt."""
 
     def final(self, head: bytes) -> bool:
--- a/rushhitch/partners/platform.py
+++ b/rushhitch/partners/platform.py
@@ -62,7 +62,7 @@
     def withdrawn(self, response: h11.Response) -> bool:
         return False
 
-    def ends(self, response: h11.Response, body: bytes, ids: list[bytes]) -> ResultsById:
+    def results(self, response: h11.Response, body: bytes, ids: list[bytes]) -> ResultsById:
         if len(ids) > 1 and response.status_code == 200:
             return batch_ends(body, ids)
         if len(ids) > 1 and response.status_code in UNREADABLE:
--- a/tests/test_partners_cloudevents.py
+++ b/tests/test_partners_cloudevents.py
@@ -77,7 +77,7 @@
     _, events = read_back(codec("batch").write(both, 1000.0))
     assert [event.text("id") for event in events] == ["ä 1", "2"]
     response = h11.Response(status_code=204, headers=[])
-    assert codec("batch").ends(response, b"", [b"a", b"b"]) == dict.fromkeys(
+    assert codec("batch").results(response, b"", [b"a", b"b"]) == dict.fromkeys(
         (b"a", b"b"), AttemptResult(Outcome.OK, delivered=True)
     )
 
@@ -98,7 +98,7 @@
 def test_each_status_has_its_meaning(statuses, end):
     for status in statuses:
         response = h11.Response(status_code=status, headers=[])
-        assert codec().ends(response, b"", [b"m1"]) == {b"m1": end}, status
+        assert codec().results(response, b"", [b"m1"]) == {b"m1": end}, status
 
 
 @pytest.mark.parametrize(
