--- a/rushhitch/core/endpoint_registry.py
+++ b/rushhitch/core/endpoint_registry.py
@@ -99,7 +99,7 @@
         destination = int(row["cell"])
         codec = self.codecs.get(destination, PLATFORM)
         kind_of = self.kinds[row["kind"]]
-        if codec.batch(int(self.all_kinds[kind_of].batch)) == 1:
+        if codec.max_batch_size(int(self.all_kinds[kind_of].batch)) == 1:
             kind_of = self.kinds.get(row["kind"] + SINGLY, kind_of)
         entry = api.Entry(
             str(row["id"]),
--- a/rushhitch/endpoints.py
+++ b/rushhitch/endpoints.py
@@ -276,7 +276,7 @@
                 self.report(Result(attempt, endpoint, Outcome.NOT_EXECUTED, 0.0))
             return
         place = self.entries[endpoint]
-        size = place.codec.batch(place.batch)
+        size = place.codec.max_batch_size(place.batch)
         for start in range(0, len(attempts), size):
             self.start(endpoint, attempts[start : start + size])
 
--- a/rushhitch/partners/cloudevents.py
+++ b/rushhitch/partners/cloudevents.py
@@ -40,7 +40,7 @@
         self.mode, self.source, self.types, self.path = mode, source, types, path
         self.acknowledged = acknowledged
 
-    def batch(self, most: int) -> int:
+    def max_batch_size(self, most: int) -> int:
         return most if self.mode == "batch" else 1
 
     def write(self, attempts: list[Attempt], left_ms: float) -> Written:
--- a/rushhitch/partners/codec.py
+++ b/rushhitch/partners/codec.py
@@ -53,7 +53,7 @@
 class Codec(Protocol):
     """A partner's protocol on HTTP/1.1, one request a call."""
 
-    def batch(self, most: int) -> int:
+    def max_batch_size(self, most: int) -> int:
         """How many messages a call may hold, where the kind of endpoint takes `most`."""
 
     def write(self, attempts: list[Attempt], left_ms: float) -> Written:
--- a/rushhitch/partners/platform.py
+++ b/rushhitch/partners/platform.py
@@ -32,7 +32,7 @@
 class Platform:
     """See `Codec`."""
 
-    def batch(self, most: int) -> int:
+    def max_batch_size(self, most: int) -> int:
         return most
 
     def write(self, attempts: list[Attempt], left_ms: float) -> Written:
--- a/tests/test_partners_cloudevents.py
+++ b/tests/test_partners_cloudevents.py
@@ -83,7 +83,7 @@
 
 
 def test_a_call_holds_several_in_batched_mode_only():
-    assert [codec(mode).batch(20) for mode in MODES] == [1, 1, 20]
+    assert [codec(mode).max_batch_size(20) for mode in MODES] == [1, 1, 20]
 
 
 @pytest.mark.parametrize(
