--- a/rushhitch/cloudevents/mapping.py
+++ b/rushhitch/cloudevents/mapping.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class PlacedEvent:
     """An event as the core sees it. `id` is the same for the same source and id, at any dispatcher."""
 
     id: bytes
@@ -45,12 +45,12 @@
     key: int
 
 
-def placed(event: Event, mapping: Rules, now: float) -> Placed:
+def place_event(event: Event, mapping: Rules, now: float) -> PlacedEvent:
     """`now` is Unix time in seconds. Raises a `BadEvent` that names the attribute."""
     if mapping.sinks is not None:
         mapping.sinks.check(event)
     cls = class_of(event.text("type"), mapping.classes)
-    return Placed(
+    return PlacedEvent(
         identity(*event.identity),
         cls,
         destination_of(event, mapping),
--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -21,7 +21,7 @@
 from rushhitch.acceptor import Acceptor, BadRequest, Pending, Reply, Submission
 from rushhitch.cloudevents.events import BadEvent, Event
 from rushhitch.cloudevents.http import MAX_BATCH_BYTES, decode
-from rushhitch.cloudevents.mapping import Rules, acknowledgement, placed
+from rushhitch.cloudevents.mapping import Rules, acknowledgement, place_event
 from rushhitch.fronts.client_connection import ClientConnection, Close, ConnectionOwner, Fault, Slot
 
 MOST_AHEAD = 65_536  # bytes of further requests that are read while one is under way
@@ -126,7 +126,7 @@
         self.check()
 
     def offer_of(self, event: Event) -> Submission:
-        place = placed(event, self.rules, time.time())
+        place = place_event(event, self.rules, time.time())
         return Submission(
             place.id,
             place.cls,
--- a/tests/test_cloudevents.py
+++ b/tests/test_cloudevents.py
@@ -19,7 +19,7 @@
     encode_binary,
     encode_structured,
 )
-from rushhitch.cloudevents.mapping import Rules, placed
+from rushhitch.cloudevents.mapping import Rules, place_event
 
 LEAST = {"id": "1", "source": "/a", "specversion": "1.0", "type": "t"}
 JSON = [("content-type", STRUCTURED)]
@@ -313,7 +313,7 @@
 
 
 def put(rules=RULES, **changes):
-    return placed(structured(**({"type": "etna.payment-order", "subject": "7"} | changes)), rules, NOW)
+    return place_event(structured(**({"type": "etna.payment-order", "subject": "7"} | changes)), rules, NOW)
 
 
 def test_an_event_is_placed_by_its_type_and_subject():
