--- a/rushhitch/cloudevents/sinks.py
+++ b/rushhitch/cloudevents/sinks.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndOf:
+class EndNotice:
     """A message that tells the end of another."""
 
     id: bytes
@@ -55,7 +55,7 @@
             return False
         return _read(attributes).get(self.attribute) in self.destinations
 
-    def end_of(self, attributes: bytes, what: str, at: str) -> EndOf:
+    def end_notice(self, attributes: bytes, what: str, at: str) -> EndNotice:
         """The message that tells how the event with these attributes ended, at that time (RFC 3339). The
         same for the same event and end, so that it is told once."""
         told = _read(attributes)
@@ -73,4 +73,4 @@
         }
         body = _write({"source": told["source"], "id": told["id"], "type": told["type"], "state": what})
         number = self.destinations[told[self.attribute]]
-        return EndOf(identity(self.source, name), self.cls, number, body, _write(event))
+        return EndNotice(identity(self.source, name), self.cls, number, body, _write(event))
--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -783,7 +783,7 @@
         if not attributes or self.sinks is None:
             return
         at = datetime.now(UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
-        told = self.sinks.end_of(attributes, end.status, at)
+        told = self.sinks.end_notice(attributes, end.status, at)
         if told.id in self.by_id:  # told by an earlier process that did not come to the end's record
             return
         self.numbers += 1
--- a/tests/test_cloudevents_sinks.py
+++ b/tests/test_cloudevents_sinks.py
@@ -26,7 +26,7 @@
 
 
 def test_what_tells_an_end_is_the_same_for_the_same_end():
-    one, again = (SINKS.end_of(ATTRIBUTES, "failed", f"2026-12-01T10:00:0{n}Z") for n in (1, 2))
+    one, again = (SINKS.end_notice(ATTRIBUTES, "failed", f"2026-12-01T10:00:0{n}Z") for n in (1, 2))
     assert one.id == again.id and one.destination == 9 and one.cls == "note"
     told = json.loads(one.attributes)
     assert told["type"] == "org.rushhitch.message.failed" and told["subject"] == "1"
