--- a/rushhitch/cloudevents/mapping.py
+++ b/rushhitch/cloudevents/mapping.py
@@ -30,7 +30,7 @@
     destination: str = "subject"
     destinations: Mapping[str, int] = field(default_factory=dict)
     usual_ms: Mapping[str, float] = field(default_factory=dict)
-    acks: Acks | None = None
+    acks: AckRules | None = None
     sinks: Sinks | None = None
 
 
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Acks:
+class AckRules:
     """Which events are acknowledgements: destinations by the source of theirs, verdicts by type, and the
     attributes that name the event they are for. One that names no source is for a message that did not come
     in as an event: its source is `own`."""
@@ -72,7 +72,7 @@
     source_attribute: str = "causationsource"
 
 
-def acknowledgement(event: Event, acks: Acks | None) -> Acknowledgement | None:
+def acknowledgement(event: Event, acks: AckRules | None) -> Acknowledgement | None:
     """What an event acknowledges; None where its type is not one of theirs. Raises a `BadEvent`."""
     if acks is None or (verdict := acks.verdicts.get(event.text("type"))) is None:
         return None
--- a/rushhitch/config/deployment.py
+++ b/rushhitch/config/deployment.py
@@ -25,8 +25,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AcknowledgementSettings:
-    """`acknowledgements` of `[cloudevents]` (`cloudevents.mapping.Acks`): partners that answer 202 at once
-    and report the outcome in a later event."""
+    """`acknowledgements` of `[cloudevents]` (`cloudevents.mapping.AckRules`): partners that answer 202 at
+    once and report the outcome in a later event."""
 
     sources: Mapping[str, int]  # destination number by the `source` of its acknowledgements
     types: Mapping[str, str]  # one of `VERDICTS` by event type
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -496,7 +496,7 @@
     """Start the CloudEvents front, which shares the client limits with RESP2; `passed` is the predecessor's
     listener."""
     from rushhitch.acceptor import Verdict
-    from rushhitch.cloudevents.mapping import Acks, Rules  # imported on demand, with its library
+    from rushhitch.cloudevents.mapping import AckRules, Rules  # imported on demand, with its library
     from rushhitch.fronts.cloudevents import CloudEventsConnection, front
 
     events = configuration.deployment.events
@@ -505,7 +505,7 @@
     acks = None
     if (acknowledgements := events.acknowledgements) is not None:
         verdicts = {kind: Verdict(value) for kind, value in acknowledgements.types.items()}
-        acks = Acks(
+        acks = AckRules(
             acknowledgements.sources,
             verdicts,
             events.source,
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -11,7 +11,7 @@
 
 from rushhitch.acceptor import Acknowledgement, Submission, Verdict
 from rushhitch.cloudevents.events import BadEvent, Event
-from rushhitch.cloudevents.mapping import Acks, Rules, acknowledgement, identity
+from rushhitch.cloudevents.mapping import AckRules, Rules, acknowledgement, identity
 from rushhitch.core.acknowledgements import ACKNOWLEDGED, DIFFERS, LATE, UNKNOWN, Effect, EndHistory, effect
 from rushhitch.core.node import Node
 from rushhitch.core.resumption import resume
@@ -24,7 +24,7 @@
 
 TYPES = {"org.bank.done": Verdict.DELIVERED, "org.bank.broke": Verdict.RAN, "org.bank.never": Verdict.NOT_RUN}
 DONE, BROKE, NEVER = TYPES
-ACKS = Acks({"/bank": 7, "/other": 8}, TYPES, "/rushhitch")
+ACKS = AckRules({"/bank": 7, "/other": 8}, TYPES, "/rushhitch")
 WITH_ACKS = Rules(RULES.classes, RULES.most_ms, acks=ACKS)
 EVENT = {"specversion": "1.0", "id": "a1", "source": "/bank", "type": DONE, "causationid": "m1"}
 
