--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -398,7 +398,7 @@
 
     def acknowledges(self, destination: int) -> bool:
         """Whether its answers may only say that an acknowledgement is to come."""
-        return self.registry.codecs.get(destination, PLATFORM).later(HTTP_ACCEPTED)
+        return self.registry.codecs.get(destination, PLATFORM).expects_acknowledgement(HTTP_ACCEPTED)
 
     def ordered(self, kept: JournalEntry) -> bool:
         """Whether messages of its key go one after another."""
