--- a/rushhitch/cloudevents/mapping.py
+++ b/rushhitch/cloudevents/mapping.py
@@ -22,11 +22,11 @@
 @dataclass(frozen=True, slots=True)
 class Rules:
     """Set by configuration. `classes`: class by type; `destinations`: number by value of the attribute
-    `destination`, or the value is the number where it is empty; `most_ms`: the deadline by class, and
+    `destination`, or the value is the number where it is empty; `max_deadline_ms`: the deadline by class, and
     `usual_ms` a shorter one for events that tell none."""
 
     classes: Mapping[str, str]
-    most_ms: Mapping[str, float]
+    max_deadline_ms: Mapping[str, float]
     destination: str = "subject"
     destinations: Mapping[str, int] = field(default_factory=dict)
     usual_ms: Mapping[str, float] = field(default_factory=dict)
@@ -116,7 +116,7 @@
 
 def left_of(event: Event, mapping: Rules, cls: str, now: float) -> float:
     """Milliseconds that the event may still be delivered."""
-    most = mapping.most_ms[cls]
+    most = mapping.max_deadline_ms[cls]
     if EXPIRY not in event.attributes:
         return min(mapping.usual_ms.get(cls, most), most)
     left = (moment(event.text(EXPIRY)).timestamp() - now) * 1000.0
--- a/tests/test_acknowledgements.py
+++ b/tests/test_acknowledgements.py
@@ -25,7 +25,7 @@
 TYPES = {"org.bank.done": Verdict.DELIVERED, "org.bank.broke": Verdict.RAN, "org.bank.never": Verdict.NOT_RUN}
 DONE, BROKE, NEVER = TYPES
 ACKS = AckRules({"/bank": 7, "/other": 8}, TYPES, "/rushhitch")
-WITH_ACKS = Rules(RULES.classes, RULES.most_ms, acks=ACKS)
+WITH_ACKS = Rules(RULES.classes, RULES.max_deadline_ms, acks=ACKS)
 EVENT = {"specversion": "1.0", "id": "a1", "source": "/bank", "type": DONE, "causationid": "m1"}
 
 
--- a/tests/test_cloudevents.py
+++ b/tests/test_cloudevents.py
@@ -321,7 +321,7 @@
     assert (told.cls, told.destination, told.left_ms, told.key) == ("pay", 7, 8_000.0, 0)
     assert put(type="etna.balance.update").cls == "balance", "the longest beginning counts"
     assert (put(type="etna.other").cls, put(type="etna.other").left_ms) == ("note", 2_000.0)
-    named = Rules(RULES.classes, RULES.most_ms, "bank", {"of-etna": 2})
+    named = Rules(RULES.classes, RULES.max_deadline_ms, "bank", {"of-etna": 2})
     assert put(named, bank="of-etna").destination == 2
 
 
@@ -363,6 +363,6 @@
     with pytest.raises(BadEvent) as error:
         put(**changes)
     assert error.value.attribute == attribute
-    named = Rules(RULES.classes, RULES.most_ms, "bank", {"of-etna": 2})
+    named = Rules(RULES.classes, RULES.max_deadline_ms, "bank", {"of-etna": 2})
     with pytest.raises(BadEvent, match="no destination is called"):
         put(named, bank="of-catania")
--- a/tests/test_cloudevents_sinks.py
+++ b/tests/test_cloudevents_sinks.py
@@ -21,7 +21,7 @@
 from rushhitch.partners.cloudevents import CloudEvents
 
 SINKS = Sinks({"books": 9}, "note", "/rushhitch")
-WITH_SINKS = Rules(RULES.classes, RULES.most_ms, sinks=SINKS)
+WITH_SINKS = Rules(RULES.classes, RULES.max_deadline_ms, sinks=SINKS)
 ATTRIBUTES = json.dumps(EVENT | {"endsink": "books"}).encode()
 
 
