--- a/rushhitch/partners/__init__.py
+++ b/rushhitch/partners/__init__.py
@@ -1,1 +1,1 @@
-"""How messages are delivered: one codec a protocol, behind one seam. No I/O here."""
+"""Protocols for deliveries to partners: one codec each, behind one interface, and the webhook handshake."""
--- a/rushhitch/partners/cloudevents.py
+++ b/rushhitch/partners/cloudevents.py
@@ -1,7 +1,7 @@
-"""CloudEvents to partners (HTTP binding 1.0.2; answers by "HTTP 1.1 Web Hooks for Event Delivery", section
-2.2, and RFC 9110). Imported only where a destination is set to it.
+"""Codec for partners that receive CloudEvents (HTTP binding 1.0.2; responses by "HTTP 1.1 Web Hooks for Event
+Delivery", section 2.2, and RFC 9110). Imported only if a destination is configured for it.
 
-An event that came in as one goes on with all its attributes; others become events of their class's type.
+A message that was received as an event keeps all its attributes; others become events of their class's type.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from crowpier.interface import Outcome
 from rushhitch.cloudevents.events import SPECVERSION, Event
 from rushhitch.cloudevents.http import encode_batch, encode_binary, encode_structured
-from rushhitch.partners.codec import Attempt, AttemptResult, ResultsById, Written
+from rushhitch.partners.codec import Attempt, AttemptResult, EncodedRequest, ResultsById
 
 MODES = ("binary", "structured", "batch")
-MOST_WAIT_MS = 86_400_000.0  # a day: a longer wait is taken for a fault, and would bar a partner for good
+MAX_WAIT_MS = 86_400_000.0  # a day: a longer wait is probably an error and would block a partner for good
 DELIVERED = re.compile(rb"HTTP/1\.[01] 2\d\d( [^\n]*)?\r?\n")
-PLAIN = "application/octet-stream"  # nothing is known of a body that came in without its type
-REFUSED = (429, 503)  # it takes no more for now: never ran
+DEFAULT_CONTENT_TYPE = "application/octet-stream"  # for messages received without a content type
+OVERLOADED = (429, 503)  # rejected for now, not processed
 ACCEPTED = 202  # "received but not processed yet" (web hooks page, section 2.2)
-GONE = 410  # the address is retired: nothing further is to be sent there (web hooks page, section 2.2)
-MAY_HAVE_RUN = (409, 423, 424)  # a conflict may be with this very event
+GONE = 410  # the address is retired: no further deliveries (web hooks page, section 2.2)
+MAYBE_PROCESSED = (409, 423, 424)  # the conflict may be with an earlier attempt of the same event
 _read = msgspec.json.Decoder().decode
 
 
 class CloudEvents:
-    """See `Codec`. `types` is the event type by class, for messages that are no events; a class that it does
-    not name is the type itself. With `acknowledged`, 202 says that an event that tells the end is to come."""
+    """See `Codec`. `types`: event type by class, for messages not received as events; defaults to the name of
+    the class. With `acknowledged`, 202 means that an event with the final outcome follows."""
 
     def __init__(
         self, mode: str, source: str, types: Mapping[str, str], path: str = "/", acknowledged: bool = False
@@ -43,7 +43,7 @@
     def max_batch_size(self, most: int) -> int:
         return most if self.mode == "batch" else 1
 
-    def write(self, attempts: list[Attempt], left_ms: float) -> Written:
+    def write(self, attempts: list[Attempt], left_ms: float) -> EncodedRequest:
         events = [self.event_of(attempt) for attempt in attempts]
         if self.mode == "binary":
             headers, body = encode_binary(events[0])
@@ -51,10 +51,12 @@
             headers, body = encode_structured(events[0])
         else:
             headers, body = encode_batch(events)
-        return Written(self.path, [(name.encode(), value.encode("latin-1")) for name, value in headers], body)
+        return EncodedRequest(
+            self.path, [(name.encode(), value.encode("latin-1")) for name, value in headers], body
+        )
 
     def event_of(self, attempt: Attempt) -> Event:
-        """The same event for each attempt of a message, so that the partner can tell a repeat by its id."""
+        """Every attempt must yield the same event, so that the partner can deduplicate by its id."""
         if attempt.attributes:
             attributes = _read(attempt.attributes)
             empty = not attempt.body and "datacontenttype" not in attributes
@@ -64,7 +66,7 @@
             "id": attempt.id.decode("latin-1"),
             "source": self.source,
             "type": self.types.get(attempt.cls, attempt.cls),
-            "datacontenttype": PLAIN,
+            "datacontenttype": DEFAULT_CONTENT_TYPE,
         }
         if attempt.deadline:
             until = datetime.fromtimestamp(attempt.deadline, UTC)
@@ -72,9 +74,9 @@
         return Event(attributes, attempt.body)
 
     def wait_ms(self, response: h11.Response, now: float) -> float:
-        """Of `Retry-After` on a refusal: seconds or a date (RFC 9110, section 10.2.3); none if it makes no
-        sense or has passed."""
-        if response.status_code not in REFUSED:
+        """`Retry-After` of a 429 or 503, seconds or a date (RFC 9110, section 10.2.3); 0 if it is malformed
+        or has passed."""
+        if response.status_code not in OVERLOADED:
             return 0.0
         for name, value in response.headers:
             if name == b"retry-after":
@@ -88,7 +90,7 @@
         return response.status_code == GONE
 
     def results(self, response: h11.Response, body: bytes, ids: list[bytes]) -> ResultsById:
-        return dict.fromkeys(ids, outcome(response.status_code))
+        return dict.fromkeys(ids, result_from_status(response.status_code))
 
     def final(self, head: bytes) -> bool:
         return False
@@ -99,21 +101,21 @@
 
 def retry_after_ms(value: str, now: float) -> float:
     if value.isascii() and value.isdecimal():
-        return min(float(value[:12]) * 1000.0, MOST_WAIT_MS)
+        return min(float(value[:12]) * 1000.0, MAX_WAIT_MS)
     try:
         at = parsedate_to_datetime(value)
     except (ValueError, TypeError, OverflowError):
         return 0.0
     at = at if at.tzinfo else at.replace(tzinfo=UTC)
-    return min(max((at.timestamp() - now) * 1000.0, 0.0), MOST_WAIT_MS)
+    return min(max((at.timestamp() - now) * 1000.0, 0.0), MAX_WAIT_MS)
 
 
-def outcome(status: int) -> AttemptResult:
-    """What a status says of an event; the table is in docs/operators/cloudevents.md."""
+def result_from_status(status: int) -> AttemptResult:
+    """The result of an attempt; the table is in docs/operators/cloudevents.md."""
     if 200 <= status < 300:
         return AttemptResult(Outcome.OK, delivered=True)
-    if status in REFUSED:
+    if status in OVERLOADED:
         return AttemptResult(Outcome.FULL)
-    if status in MAY_HAVE_RUN or status >= 500:
+    if status in MAYBE_PROCESSED or status >= 500:
         return AttemptResult(Outcome.ERROR)
-    return AttemptResult(Outcome.NOT_EXECUTED)  # 3xx and 4xx: it was not handled; redirects are not followed
+    return AttemptResult(Outcome.NOT_EXECUTED)  # 3xx and 4xx: not processed; redirects are not followed
--- a/rushhitch/partners/codec.py
+++ b/rushhitch/partners/codec.py
@@ -1,4 +1,4 @@
-"""The seam between calls and the protocol that a partner speaks. A codec does no I/O and reads no clock."""
+"""The interface between calls and the protocol of a partner. Codecs do no I/O and read no clock."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """What an answer says of a message: the outcome of its attempt, whether that `delivered` it, and whether
-    it is `final`, so that no further attempt can succeed."""
+    """What a response says about a message: the outcome of the attempt, whether the message is `delivered`,
+    and whether the result is `final`: no further attempt can succeed."""
 
     outcome: Outcome
     delivered: bool = False
     final: bool = False
 
 
-ResultsById = dict[bytes, AttemptResult]  # by id
+ResultsById = dict[bytes, AttemptResult]  # by message id
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One message in a call. Times are by the clock of the event loop, in seconds."""
+    """One message in a call. Times are in seconds on the event loop's clock unless stated otherwise."""
 
     message: int
     number: int
     id: bytes
     body: bytes
     stop_at: float
-    due: float = math.inf  # when its message's time is up
+    due: float = math.inf  # deadline of the message
     cls: str = ""
-    attributes: bytes = b""  # of an event, as a JSON object; empty where the message came in otherwise
-    deadline: float = 0.0  # when its time is up, Unix time in seconds
-    idempotency: bytes = b""  # the key by which its endpoint knows a repeat; empty without one
-    start_by: float = math.inf  # from then on it must not begin: its key helps no more, or it waited too long
+    attributes: bytes = b""  # JSON object; empty unless the message was received as an event
+    deadline: float = 0.0  # deadline of the message, Unix time in seconds; 0 if unknown
+    idempotency: bytes = b""  # key by which the endpoint detects repeats; empty without one
+    start_by: float = math.inf  # must not begin later: its key has expired, or it waited too long
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
-    """A request, without the headers that any HTTP request has (Host, Content-Length)."""
+class EncodedRequest:
+    """A request without the headers common to all HTTP requests (Host, Content-Length)."""
 
     target: str
     headers: list[tuple[bytes, bytes]]
@@ -51,28 +51,29 @@
 
 
 class Codec(Protocol):
-    """A partner's protocol on HTTP/1.1, one request a call."""
+    """A partner's protocol on HTTP/1.1; each call is one request."""
 
     def max_batch_size(self, most: int) -> int:
-        """How many messages a call may hold, where the kind of endpoint takes `most`."""
+        """The most messages that a call may carry if the kind of endpoint takes up to `most`."""
 
-    def write(self, attempts: list[Attempt], left_ms: float) -> Written:
-        """The request of a call that is waited for so long. It must be the same request for the same call."""
+    def write(self, attempts: list[Attempt], left_ms: float) -> EncodedRequest:
+        """Encode a call whose response is awaited for `left_ms`. Must be deterministic: the same call always
+        yields the same request."""
 
     def wait_ms(self, response: h11.Response, now: float) -> float:
-        """The wait in milliseconds that an answer tells, 0 without one; `now` is Unix time in seconds."""
+        """The wait that a response asks for, 0 without one; `now` is Unix time in seconds."""
 
     def expects_acknowledgement(self, status: int) -> bool:
-        """Whether an answer of that status, a delivery otherwise, says that an acknowledgement is to come."""
+        """Whether this status, otherwise that of a delivery, announces an acknowledgement."""
 
     def withdrawn(self, response: h11.Response) -> bool:
-        """Whether an answer says that nothing is wanted at this address any more."""
+        """Whether a response says that this address takes no further deliveries."""
 
     def results(self, response: h11.Response, body: bytes, ids: list[bytes]) -> ResultsById:
-        """What a whole answer says of each message. An `h11.RemoteProtocolError` where it is spoilt."""
+        """The result for each message. Raises `h11.RemoteProtocolError` if the response is malformed."""
 
     def final(self, head: bytes) -> bool:
-        """Whether the beginning of an answer tells that no further attempt can succeed, whatever comes."""
+        """Whether the start of a response already shows that no further attempt can succeed."""
 
     def delivered(self, head: bytes) -> bool:
-        """Whether the beginning of an answer to a call of one message proves its delivery, whatever comes."""
+        """Whether the start of a response to a call of one message already proves its delivery."""
--- a/rushhitch/partners/gate.py
+++ b/rushhitch/partners/gate.py
@@ -1,4 +1,4 @@
-"""The seam between the core and what keeps endpoints shut that are listed."""
+"""The interface between the core and a gate, which can withhold calls from listed endpoints."""
 
 from __future__ import annotations
 
@@ -7,31 +7,32 @@
 
 
 class Gate(Protocol):
-    """Says which endpoints of the destinations that it covers may be called. The core tells it of each that
-    is listed, again at each change, and goes by `open` from then on; a gate that changes its mind calls
-    `Covered.reapply_gate`. What it keeps shut is to the decision module as one that drains: no new calls."""
+    """Decides which endpoints of the destinations that it covers may be called. The core calls `place` for
+    each endpoint when it is listed and whenever its entry changes, and then checks `open`; when the answer of
+    `open` changes, the gate must call `Covered.reapply_gate`. The decision module treats a closed endpoint as
+    draining: no new calls."""
 
     def covers(self, destination: int) -> bool:
-        """Whether it has a say there; the same answer always."""
+        """Whether the gate applies to the destination. The answer must never change."""
 
     def place(self, endpoint: str) -> None:
-        """The endpoint is listed there."""
+        """The endpoint is listed at a covered destination."""
 
     def remove(self, endpoint: str) -> None:
-        """It no longer is."""
+        """The endpoint is no longer listed."""
 
     def open(self, endpoint: str) -> bool:
-        """Whether it may be called."""
+        """Whether the endpoint may be called."""
 
     def withdrawn(self, endpoint: str) -> None:
-        """It has answered a call with word that it wants nothing any more."""
+        """The endpoint answered a call by refusing further deliveries."""
 
 
 class Covered(Protocol):
-    """What the core keeps of the endpoints that a gate covers."""
+    """The core, as a gate sees it."""
 
     def reapply_gate(self, endpoint: str) -> None:
-        """The gate has changed its mind on the endpoint."""
+        """Check `Gate.open` again for the endpoint."""
 
     def gated_lanes(self) -> Mapping[str, int | str]:
-        """Their lanes, by endpoint."""
+        """The lane of each covered endpoint."""
--- a/tests/test_partners_cloudevents.py
+++ b/tests/test_partners_cloudevents.py
@@ -16,7 +16,7 @@
 from rushhitch.cloudevents.http import decode
 from rushhitch.core.endpoint_registry import with_unbatched_kinds
 from rushhitch.core.node import Node
-from rushhitch.partners.cloudevents import MODES, MOST_WAIT_MS, CloudEvents, retry_after_ms
+from rushhitch.partners.cloudevents import MAX_WAIT_MS, MODES, CloudEvents, retry_after_ms
 from rushhitch.partners.codec import Attempt, AttemptResult
 
 ATTRIBUTES = {"specversion": "1.0", "id": "ä 1", "source": "/books", "type": "com.example.paid", "seq": 7}
@@ -110,12 +110,12 @@
         ("1.5", 0.0),
         ("soon", 0.0),
         ("", 0.0),
-        ("99999999999999999999", MOST_WAIT_MS),
+        ("99999999999999999999", MAX_WAIT_MS),
         ("Mon, 21 Sep 2026 14:13:25 GMT", 5_000.0),
         ("Monday, 21-Sep-26 14:13:25 GMT", 5_000.0),
         ("Mon Sep 21 14:13:25 2026", 5_000.0),
         ("Mon, 21 Sep 2020 14:13:25 GMT", 0.0),
-        ("Mon, 21 Sep 2099 14:13:25 GMT", MOST_WAIT_MS),
+        ("Mon, 21 Sep 2099 14:13:25 GMT", MAX_WAIT_MS),
         ("Mon, 99 Sep 2026 14:13:25 GMT", 0.0),
     ],
 )
