--- a/rushhitch/partners/handshake.py
+++ b/rushhitch/partners/handshake.py
@@ -1,4 +1,4 @@
-"""Asks partners whether they want events: the I/O round `Agreements`. Imported only where it is on."""
+"""Runs the webhook handshake: the I/O for `Agreements`. Imported only if it is configured."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 log = logging.getLogger(__name__)
 
-STATE_S = 0.4  # between two words on stated limits: each holds for a second in the decision module
-MOST_OUT = 8  # questions at a time: a start with many partners does not take all connections
+STATED_LIMITS_INTERVAL_S = 0.4  # the decision module drops stated limits that are a second old
+MAX_REQUESTS = 8  # in flight, so that a start with many partners does not take all connections
 
 
 class Handshake:
-    """The gate of a node (`partners.gate.Gate`): its destinations get nothing until their endpoints have
-    agreed, and no more than they state."""
+    """A `partners.gate.Gate`: an endpoint of `destinations` gets no call until it has agreed, and no more
+    calls than it states. `ask` sends a request (endpoint, method, path, headers)."""
 
     def __init__(
         self,
@@ -36,19 +36,19 @@
         self.ask_endpoint, self.set_stated_limits, self.covered = ask, set_stated_limits, covered
         self.agreements, self.path = agreements, path
         self.destinations = frozenset(destinations)
-        self.out: set[asyncio.Task[None]] = set()
+        self.requests: set[asyncio.Task[None]] = set()
         self.woken = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
         loop = asyncio.get_running_loop()
-        self.tasks = [loop.create_task(self.run()), loop.create_task(self.state())]
+        self.tasks = [loop.create_task(self.run()), loop.create_task(self.refresh_stated_limits())]
 
     def stop(self) -> None:
-        for task in (*self.tasks, *self.out):
+        for task in (*self.tasks, *self.requests):
             task.cancel()
 
-    # What the node asks
+    # Gate
 
     def covers(self, destination: int) -> bool:
         return destination in self.destinations
@@ -65,9 +65,9 @@
 
     def withdrawn(self, endpoint: str) -> None:
         if self.agreements.withdrawn(self.now(), endpoint):
-            self.tell(endpoint)
+            self.apply_change(endpoint)
 
-    # Questions
+    # Requests
 
     @staticmethod
     def now() -> float:
@@ -76,58 +76,58 @@
     async def run(self) -> None:
         while True:
             self.woken.clear()
-            rest = (self.agreements.next_at() - self.now()) / 1000.0
-            if rest > 0 or len(self.out) >= MOST_OUT:
+            wait_s = (self.agreements.next_at() - self.now()) / 1000.0
+            if wait_s > 0 or len(self.requests) >= MAX_REQUESTS:
                 try:
-                    async with asyncio.timeout(rest if 0 < rest < math.inf else None):
+                    async with asyncio.timeout(wait_s if 0 < wait_s < math.inf else None):
                         await self.woken.wait()
                 except TimeoutError:
                     pass
                 continue
-            for endpoint in self.agreements.due(self.now(), MOST_OUT - len(self.out)):
+            for endpoint in self.agreements.due(self.now(), MAX_REQUESTS - len(self.requests)):
                 task = asyncio.get_running_loop().create_task(self.ask(endpoint))
-                self.out.add(task)
-                task.add_done_callback(self.asked)
+                self.requests.add(task)
+                task.add_done_callback(self.request_done)
 
-    def asked(self, task: asyncio.Task[None]) -> None:
-        self.out.discard(task)
+    def request_done(self, task: asyncio.Task[None]) -> None:
+        self.requests.discard(task)
         self.woken.set()
 
     async def ask(self, endpoint: str) -> None:
-        """One question; whatever goes wrong, the agreements hear of it, or it would never be asked again."""
-        headers = self.agreements.question()
+        """Send one request. Any failure must reach `Agreements`, or the endpoint is never asked again."""
+        headers = self.agreements.request_headers()
         try:
             answer = await self.ask_endpoint(endpoint, "OPTIONS", self.path, headers)
         except Exception as error:
-            log.debug("the question to %s broke: %r", endpoint, error)
+            log.debug("handshake with %s failed: %r", endpoint, error)
             self.agreements.unanswered(self.now(), endpoint, f"no answer: {error!r}")
             return
         if self.agreements.answered(self.now(), endpoint, answer.status_code, answer.headers):
-            self.tell(endpoint)
+            self.apply_change(endpoint)
 
-    def tell(self, endpoint: str) -> None:
+    def apply_change(self, endpoint: str) -> None:
         known = self.agreements.known[endpoint]
         if known.agreed:
             rate = f"{known.per_s * 60.0:.0f} requests a minute" if known.per_s < math.inf else "any rate"
-            log.info("%s agrees to be sent events: %s", endpoint, rate)
+            log.info("%s accepts events: %s", endpoint, rate)
         else:
-            log.warning("%s does not agree to be sent events: %s", endpoint, known.why)
+            log.warning("%s does not accept events: %s", endpoint, known.reason)
         self.set_stated_limits(self.rates())  # before the first call can go
         self.covered.reapply_gate(endpoint)
 
     # Stated limits
 
-    async def state(self) -> None:
+    async def refresh_stated_limits(self) -> None:
         while True:
             self.set_stated_limits(self.rates())
-            await asyncio.sleep(STATE_S)
+            await asyncio.sleep(STATED_LIMITS_INTERVAL_S)
 
     def rates(self) -> dict[int | str, float]:
-        """Calls a second by lane, of those that state a limit: the lowest where endpoints share one, so that
-        no endpoint gets more than it allows."""
-        found: dict[int | str, float] = {}
+        """Stated limits in calls a second by lane. The lowest counts if endpoints share a lane: none of them
+        may get more than it allows."""
+        rates: dict[int | str, float] = {}
         for endpoint, lane in self.covered.gated_lanes().items():
             per_s = self.agreements.per_s(endpoint)
             if per_s < math.inf:
-                found[lane] = min(found.get(lane, math.inf), per_s)
-        return found
+                rates[lane] = min(rates.get(lane, math.inf), per_s)
+        return rates
--- a/tests/test_partners_handshake.py
+++ b/tests/test_partners_handshake.py
@@ -1,4 +1,4 @@
-"""Partners that must agree to be sent events: what each answer means, and that nothing goes out without."""
+"""The webhook handshake: what each response means, and that nothing is sent without an agreement."""
 
 import asyncio
 import math
@@ -10,7 +10,7 @@
 
 from crowpier.interface import SendAllowance
 from rushhitch.partners import handshake
-from rushhitch.partners.agreements import BACK_OFF_MS, BACK_OFF_TOP_MS, REFUSED_MS, RENEW_MS, Agreements
+from rushhitch.partners.agreements import BACK_OFF_MS, MAX_BACK_OFF_MS, REFUSED_MS, RENEW_MS, Agreements
 from rushhitch.partners.cloudevents import CloudEvents
 from rushhitch.partners.handshake import Handshake
 from rushhitch.planning.counts import LaneCounts
@@ -24,14 +24,14 @@
     return (b"webhook-allowed-rate", value)
 
 
-def agreements(*endpoints, **told):
-    made = Agreements(ORIGIN, chance=random.Random(1), **told)
+def agreements(*endpoints, **options):
+    made = Agreements(ORIGIN, chance=random.Random(1), **options)
     for endpoint in endpoints:
         made.place(endpoint)
     return made
 
 
-# What is decided
+# Agreements
 
 
 def test_a_new_endpoint_is_asked_at_once_and_only_once_until_it_answers():
@@ -85,7 +85,7 @@
         assert not made.answered(now, "a", status, headers), "it had not agreed before either"
         rests.append(made.next_at() - now)
         now = made.next_at()
-    assert not made.agreed("a") and made.known["a"].why
+    assert not made.agreed("a") and made.known["a"].reason
     for rest, factor in zip(rests, (1, 2, 4), strict=True):
         assert 0.8 * factor * REFUSED_MS <= rest <= 1.2 * factor * REFUSED_MS
 
@@ -98,10 +98,10 @@
     now = 0.0
     for name in "ab":
         for _ in range(12):
-            told = (now, name, status, YES) if status else (now, name, "time-out")
-            assert not (made.answered if status else made.unanswered)(*told)
+            arguments = (now, name, status, YES) if status else (now, name, "time-out")
+            assert not (made.answered if status else made.unanswered)(*arguments)
             rest = made.known[name].ask_at - now
-            assert 0.8 * BACK_OFF_MS <= rest <= 1.2 * BACK_OFF_TOP_MS
+            assert 0.8 * BACK_OFF_MS <= rest <= 1.2 * MAX_BACK_OFF_MS
     assert made.agreed("a") and made.per_s("a") == 1.0, "an agreement outlasts an outage"
     assert not made.agreed("b")
 
@@ -130,15 +130,15 @@
 
 
 def test_the_question_names_us_and_the_rate_that_is_asked_for():
-    assert agreements().question() == [(b"WebHook-Request-Origin", ORIGIN.encode())]
-    assert (b"WebHook-Request-Rate", b"600") in agreements(rate=600).question()
+    assert agreements().request_headers() == [(b"WebHook-Request-Origin", ORIGIN.encode())]
+    assert (b"WebHook-Request-Rate", b"600") in agreements(rate=600).request_headers()
 
 
-# On the real core, with a partner that the test plays
+# Handshake and core, with the test as the partner
 
 
 class Gated:
-    """A core whose destination 7 must agree."""
+    """A core with a handshake for destination 7."""
 
     async def start(self, folder):
         self.bench = await Bench().start(folder)
@@ -166,7 +166,7 @@
         return request
 
     def ask_again(self):
-        """Its next question is due now."""
+        """Make the next request due now."""
         self.gate.agreements.known["e1"].ask_at = -math.inf
         self.gate.woken.set()
 
@@ -247,7 +247,7 @@
     @gated(tmp_path)
     async def _(made):
         (await made.asked()).reset()
-        await made.asked()  # asked again within a second or so, and not answered: a time-out
+        await made.asked()  # asked again after about a second; left unanswered until the time-out
         (await made.asked()).answer(200, WebHook_Allowed_Origin="*")
         made.bench.offer()
         (await made.post()).answer(202)
@@ -255,7 +255,7 @@
 
 
 def test_a_stated_rate_is_kept_to(tmp_path, monkeypatch):
-    monkeypatch.setattr(handshake, "STATE_S", 0.05)
+    monkeypatch.setattr(handshake, "STATED_LIMITS_INTERVAL_S", 0.05)
 
     @gated(tmp_path)
     async def _(made):
@@ -290,7 +290,7 @@
         assert (high.per_s, high.burst, high.wait_ms, high.slots) == (4.0, 1.0, 50.0, ())
         assert (low.per_s, low.slots) == (2.0, (10.0,)), "and its moments with it"
         assert all(isinstance(note, SendAllowance) for note in notes)
-        # A rate that is stated while a grant holds: lower it binds at once, higher it lifts nothing.
+        # A stated rate below the planner's grant applies at once; one above it changes nothing.
         notes.clear()
         node.limits.set_stated_limits({7: 1.0})
         assert [note.per_s for note in notes] == [1.0]
