--- a/tests/test_clients_page.py
+++ b/tests/test_clients_page.py
@@ -1,4 +1,4 @@
-"""The page for those who write clients: its command lines work against the demo."""
+"""The command lines of the page for client authors work against the demo."""
 
 import asyncio
 import http.client
@@ -15,19 +15,19 @@
 
 
 def commands():
-    """The curl lines of the page: each an indented block, with its arguments."""
+    """The arguments of each curl command of the page; a command is an indented block."""
     blocks = re.findall(r"(?:^    .*\n)+", PAGE.read_text(), re.MULTILINE)
     return [shlex.split(block.replace("\\\n", " ")) for block in blocks if block.lstrip().startswith("curl ")]
 
 
-def post(words, port):
-    """What curl does with such a line; it need not be there."""
-    assert words[:2] == ["curl", "-i"] and words[2] == "http://127.0.0.1:8080/"
-    options = dict(zip(words[3::2], words[4::2], strict=True))
-    told = [words[at + 1] for at in range(3, len(words), 2) if words[at] == "-H"]
+def post(arguments, port):
+    """Send the request that curl would send, since curl may not be installed."""
+    assert arguments[:2] == ["curl", "-i"] and arguments[2] == "http://127.0.0.1:8080/"
+    options = dict(zip(arguments[3::2], arguments[4::2], strict=True))
+    headers = [arguments[at + 1] for at in range(3, len(arguments), 2) if arguments[at] == "-H"]
     assert set(options) <= {"-H", "-d"}
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
-    connection.request("POST", "/", options["-d"].encode(), dict(line.split(": ", 1) for line in told))
+    connection.request("POST", "/", options["-d"].encode(), dict(line.split(": ", 1) for line in headers))
     answer = connection.getresponse()
     return answer.status, json.loads(answer.read())
 
@@ -42,21 +42,21 @@
         )
         try:
             while b"events may be posted to" not in (line := await demo.stdout.readline()):
-                assert line, "the demo ended without telling its address"
+                assert line, "the demo ended without printing its address"
             port = int(re.search(rb":(\d+)/", line)[1])
-            found = []
-            for words in commands():
-                status, body = await asyncio.to_thread(post, words, port)
-                found.append((status, body.get("state", "") if isinstance(body, dict) else ""))
+            results = []
+            for arguments in commands():
+                status, body = await asyncio.to_thread(post, arguments, port)
+                results.append((status, body.get("state", "") if isinstance(body, dict) else ""))
                 if isinstance(body, list):
                     assert [row["status"] for row in body] == [202, 400]
                     assert body[1]["attribute"] == "subject"
-            assert found == EXPECTED
+            assert results == EXPECTED
             out = (await demo.stdout.read()).decode()
             assert await demo.wait() == 0, out
         finally:
             if demo.returncode is None:
-                demo.send_signal(signal.SIGINT)  # it ends its dispatcher
+                demo.send_signal(signal.SIGINT)  # the demo then stops its dispatcher
                 await demo.wait()
 
     run(work())
