--- a/tests/test_partners_cloudevents.py
+++ b/tests/test_partners_cloudevents.py
@@ -1,4 +1,4 @@
-"""The CloudEvents codec for partners: what is written, and what each answer means."""
+"""The CloudEvents codec for partners: the encoding of calls and the meaning of each response."""
 
 import asyncio
 import json
@@ -28,8 +28,8 @@
 
 
 def attempt(attributes=ATTRIBUTES, body=b'{"a": 1}', deadline=0.0):
-    told = json.dumps(attributes).encode() if attributes else b""
-    return Attempt(1, 0, b"m1", body, 0.0, cls="pay", attributes=told, deadline=deadline)
+    encoded = json.dumps(attributes).encode() if attributes else b""
+    return Attempt(1, 0, b"m1", body, 0.0, cls="pay", attributes=encoded, deadline=deadline)
 
 
 def read_back(written):
@@ -38,18 +38,18 @@
 
 
 @pytest.mark.parametrize("mode", MODES)
-def test_an_event_goes_on_with_its_attributes_and_its_bytes(mode):
+def test_an_event_is_passed_on_with_its_attributes_and_its_bytes(mode):
     written = codec(mode).write([attempt()], 1000.0)
     assert written.target == "/in"
-    told, (event,) = read_back(written)
-    assert told == mode and isinstance(event, Event)
-    shown = {name: event.text(name) for name in ATTRIBUTES}
-    assert shown == {name: str(value) for name, value in ATTRIBUTES.items()}
+    decoded_mode, (event,) = read_back(written)
+    assert decoded_mode == mode and isinstance(event, Event)
+    texts = {name: event.text(name) for name in ATTRIBUTES}
+    assert texts == {name: str(value) for name, value in ATTRIBUTES.items()}
     assert event.data == b'{"a": 1}'
 
 
 @pytest.mark.parametrize("mode", MODES)
-def test_a_message_that_is_no_event_becomes_one_that_tells_itself(mode):
+def test_a_message_that_was_not_received_as_an_event_becomes_one(mode):
     written = codec(mode).write([attempt(None, b"\x00\xff", NOW)], 1000.0)
     _, (event,) = read_back(written)
     assert event.data == b"\x00\xff"
@@ -72,7 +72,7 @@
     assert event.data is None
 
 
-def test_a_batch_holds_all_and_its_answer_counts_for_all():
+def test_a_batch_has_all_events_and_its_response_applies_to_all():
     both = [attempt(), attempt(ATTRIBUTES | {"id": "2"})]
     _, events = read_back(codec("batch").write(both, 1000.0))
     assert [event.text("id") for event in events] == ["ä 1", "2"]
@@ -82,7 +82,7 @@
     )
 
 
-def test_a_call_holds_several_in_batched_mode_only():
+def test_only_batched_mode_has_several_events_in_a_call():
     assert [codec(mode).max_batch_size(20) for mode in MODES] == [1, 1, 20]
 
 
@@ -119,11 +119,11 @@
         ("Mon, 99 Sep 2026 14:13:25 GMT", 0.0),
     ],
 )
-def test_a_told_wait_is_read_in_seconds_and_as_a_date(value, ms):
+def test_retry_after_is_read_in_seconds_and_as_a_date(value, ms):
     assert retry_after_ms(value, NOW) == ms
-    for status, told in ((429, ms), (503, ms), (202, 0.0), (301, 0.0)):
+    for status, expected in ((429, ms), (503, ms), (202, 0.0), (301, 0.0)):
         response = h11.Response(status_code=status, headers=[("Retry-After", value)])
-        assert codec().wait_ms(response, NOW) == told
+        assert codec().wait_ms(response, NOW) == expected
 
 
 @pytest.mark.parametrize(
@@ -136,14 +136,12 @@
         (b"HTTP/1.1 2020 x\r\n", False),
     ],
 )
-def test_a_delivery_counts_from_its_first_line_on(head, delivered):
+def test_the_status_line_alone_proves_a_delivery(head, delivered):
     assert codec().delivered(head) is delivered
 
 
-def test_the_decisions_count_as_many_calls_as_are_made_where_a_kind_takes_batches_and_its_protocol_none(
-    tmp_path,
-):
-    # Ten messages a call by the kind: a slot of the decisions would hold ten calls.
+def test_slots_count_single_calls_if_the_kind_takes_batches_but_the_protocol_does_not(tmp_path):
+    # The kind takes ten messages a call: if that were used, one slot would be ten calls.
     async def work():
         bench = await Bench().start(tmp_path)
         settings = replace(
