--- a/tests/test_cloudevents_sinks.py
+++ b/tests/test_cloudevents_sinks.py
@@ -1,4 +1,4 @@
-"""Sinks: a client hears how its event ended by an event of ours, also over restarts and from a full house."""
+"""Sinks: the dispatcher reports the end of an event by one of its own, also after restarts and when full."""
 
 import asyncio
 import json
@@ -25,16 +25,20 @@
 ATTRIBUTES = json.dumps(EVENT | {"endsink": "books"}).encode()
 
 
-def test_what_tells_an_end_is_the_same_for_the_same_end():
+def test_notices_of_the_same_end_are_the_same():
     one, again = (SINKS.end_notice(ATTRIBUTES, "failed", f"2026-12-01T10:00:0{n}Z") for n in (1, 2))
     assert one.id == again.id and one.destination == 9 and one.cls == "note"
-    told = json.loads(one.attributes)
-    assert told["type"] == "org.rushhitch.message.failed" and told["subject"] == "1"
-    assert (told["causationid"], told["causationsource"], told["source"]) == ("1", "/books", "/rushhitch")
+    notice = json.loads(one.attributes)
+    assert notice["type"] == "org.rushhitch.message.failed" and notice["subject"] == "1"
+    assert (notice["causationid"], notice["causationsource"], notice["source"]) == (
+        "1",
+        "/books",
+        "/rushhitch",
+    )
     assert json.loads(one.body) == {"source": "/books", "id": "1", "type": EVENT["type"], "state": "failed"}
 
 
-def test_only_a_sink_that_is_set_can_be_named():
+def test_only_a_configured_sink_can_be_named():
     assert SINKS.named(ATTRIBUTES) and not SINKS.named(json.dumps(EVENT).encode()) and not SINKS.named(b"")
     SINKS.check(Event(EVENT, None))
     with pytest.raises(BadEvent, match="endsink: unknown sink 'http://a/': use books"):
@@ -42,8 +46,8 @@
     assert not SINKS.named(json.dumps(EVENT | {"endsink": "x", "data": "endsink"}).encode())
 
 
-class Desk(Bench):
-    """A core with a partner (7), a sink (9), and the front."""
+class SinkBench(Bench):
+    """A core with a partner (7), a sink (9) and the CloudEvents front."""
 
     async def start(self, folder, slots=None):
         await super().start(folder, slots)
@@ -77,22 +81,22 @@
         browser.writer.close()
         return answer
 
-    async def told(self):
-        """What the sink hears next, which it takes."""
+    async def next_notice(self):
+        """Accept the next notice at the sink and return it."""
         request = await self.sink.next()
         request.answer(200)
         return json.loads(request.body)
 
 
-def with_desk(folder):
+def with_bench(folder):
     def decorate(test):
         async def work():
-            desk = await Desk().start(folder)
+            bench = await SinkBench().start(folder)
             try:
-                await test(desk)
+                await test(bench)
             finally:
-                desk.clients.stop_listening()
-                desk.journal.close()
+                bench.clients.stop_listening()
+                bench.journal.close()
 
         run(work())
 
@@ -100,103 +104,103 @@
 
 
 @pytest.mark.parametrize(("status", "end"), [(200, "delivered"), (500, "failed")])
-def test_the_sink_hears_the_end_by_the_same_core(tmp_path, status, end):
-    @with_desk(tmp_path)
-    async def _(desk):
-        assert (await desk.post())[0] == 202
-        (await desk.partner.next()).answer(status)
-        told = await desk.told()
-        assert told["type"] == f"org.rushhitch.message.{end}" and told["data"]["state"] == end
-        assert (told["causationsource"], told["causationid"]) == ("/books", "1")
-        await desk.node.idle.wait()
-        assert desk.sink.requests.empty() and desk.ends.empty() is (end == "delivered")
-
-
-def test_a_refusal_after_it_was_taken_on_is_told_too_and_one_before_is_the_answer(tmp_path):
-    @with_desk(tmp_path)
-    async def _(desk):
-        desk.node.registry.apply_update(
-            {"version": 43, "full": False, "servers": [desk.row | {"state": "DRAINING"}]}
+def test_the_sink_is_notified_of_the_end(tmp_path, status, end):
+    @with_bench(tmp_path)
+    async def _(bench):
+        assert (await bench.post())[0] == 202
+        (await bench.partner.next()).answer(status)
+        notice = await bench.next_notice()
+        assert notice["type"] == f"org.rushhitch.message.{end}" and notice["data"]["state"] == end
+        assert (notice["causationsource"], notice["causationid"]) == ("/books", "1")
+        await bench.node.idle.wait()
+        assert bench.sink.requests.empty() and bench.ends.empty() is (end == "delivered")
+
+
+def test_only_a_refusal_after_acceptance_is_reported_to_the_sink(tmp_path):
+    @with_bench(tmp_path)
+    async def _(bench):
+        bench.node.registry.apply_update(
+            {"version": 43, "full": False, "servers": [bench.row | {"state": "DRAINING"}]}
         )
         soon = "2099-01-01T00:00:00Z"
-        assert (await desk.post(expirytime=soon))[0] == 202
-        message = desk.node.messages[1]
-        desk.node.finish(message, "bounced", 0.0)
-        desk.node.commit()
-        assert (await desk.told())["data"]["state"] == "refused"
-        object.__setattr__(desk.node.settings, "max_held", 0)
-        assert (await desk.post(id="2"))[0] == 503
-        await desk.node.idle.wait()
-        assert desk.sink.requests.empty()
-
-
-def test_an_unknown_sink_is_told_with_its_attribute(tmp_path):
-    @with_desk(tmp_path)
-    async def _(desk):
-        browser = Browser(*await asyncio.open_connection(*desk.http))
+        assert (await bench.post(expirytime=soon))[0] == 202
+        message = bench.node.messages[1]
+        bench.node.finish(message, "bounced", 0.0)
+        bench.node.commit()
+        assert (await bench.next_notice())["data"]["state"] == "refused"
+        object.__setattr__(bench.node.settings, "max_held", 0)
+        assert (await bench.post(id="2"))[0] == 503
+        await bench.node.idle.wait()
+        assert bench.sink.requests.empty()
+
+
+def test_an_unknown_sink_is_refused_with_its_attribute(tmp_path):
+    @with_bench(tmp_path)
+    async def _(bench):
+        browser = Browser(*await asyncio.open_connection(*bench.http))
         browser.binary(endsink="nobody")
         status, _, problem = await browser.answer()
-        assert status == 400 and problem["attribute"] == "endsink" and not desk.node.by_id
+        assert status == 400 and problem["attribute"] == "endsink" and not bench.node.by_id
 
 
-def test_an_end_that_is_owed_outlasts_the_process_and_is_told_once(tmp_path):
-    @with_desk(tmp_path)
-    async def _(desk):
-        await desk.post()
-        (await desk.partner.next()).answer(200)
-        first = await desk.sink.next()  # it does not answer before the process is killed
-        await desk.restart(tmp_path)
-        again = await desk.sink.next()
+def test_an_undelivered_notice_survives_a_restart_and_is_delivered_once(tmp_path):
+    @with_bench(tmp_path)
+    async def _(bench):
+        await bench.post()
+        (await bench.partner.next()).answer(200)
+        first = await bench.sink.next()  # left unanswered until the restart
+        await bench.restart(tmp_path)
+        again = await bench.sink.next()
         again.answer(200)
         assert json.loads(first.body)["id"] == json.loads(again.body)["id"]
-        await desk.node.idle.wait()
-        await desk.restart(tmp_path)
-        assert desk.node.idle.is_set() and desk.sink.requests.empty()
-
-
-def test_a_crash_between_the_two_records_tells_the_end_once(tmp_path):
-    # The journal has the message for the sink, and not yet the end that it tells.
-    @with_desk(tmp_path)
-    async def _(desk):
-        await desk.post()
-        await desk.partner.next()
-        message = desk.node.messages[1]
-        desk.node.notify_sink(message, FAILED)
-        desk.journal.flush()
-        desk.journal.pending.clear()
-        await desk.restart(tmp_path)
-        assert (await desk.ends.get())[2] == "dead", "it was out at the crash, and must not run twice"
-        assert [kept.destination for kept in desk.journal.live.values()].count(9) == 1
-        assert (await desk.told())["data"]["state"] == "failed"
-        await desk.node.idle.wait()
-        assert desk.sink.requests.empty()
-
-
-def test_an_event_that_waits_for_its_acknowledgement_is_told_with_it(tmp_path):
-    @with_desk(tmp_path)
-    async def _(desk):
-        desk.node.registry.codecs[7] = CloudEvents("binary", "/rushhitch", {}, acknowledged=True)
-        desk.node.registry.apply_update({"version": 43, "full": False, "servers": [desk.row]})
-        await desk.post()
-        (await desk.partner.next()).answer(202)
-        while not desk.node.messages[1].handed:
+        await bench.node.idle.wait()
+        await bench.restart(tmp_path)
+        assert bench.node.idle.is_set() and bench.sink.requests.empty()
+
+
+def test_a_crash_between_the_records_of_notice_and_end_sends_one_notice(tmp_path):
+    # The journal has the notice, but not yet the end that it reports.
+    @with_bench(tmp_path)
+    async def _(bench):
+        await bench.post()
+        await bench.partner.next()
+        message = bench.node.messages[1]
+        bench.node.notify_sink(message, FAILED)
+        bench.journal.flush()
+        bench.journal.pending.clear()
+        await bench.restart(tmp_path)
+        assert (await bench.ends.get())[2] == "dead", "it was in flight at the crash and must not run twice"
+        assert [kept.destination for kept in bench.journal.live.values()].count(9) == 1
+        assert (await bench.next_notice())["data"]["state"] == "failed"
+        await bench.node.idle.wait()
+        assert bench.sink.requests.empty()
+
+
+def test_the_sink_is_notified_when_the_acknowledgement_arrives(tmp_path):
+    @with_bench(tmp_path)
+    async def _(bench):
+        bench.node.registry.codecs[7] = CloudEvents("binary", "/rushhitch", {}, acknowledged=True)
+        bench.node.registry.apply_update({"version": 43, "full": False, "servers": [bench.row]})
+        await bench.post()
+        (await bench.partner.next()).answer(202)
+        while not bench.node.messages[1].handed:
             await asyncio.sleep(0.005)
-        assert desk.sink.requests.empty()
-        desk.node.close(desk.node.messages[1], Effect.DELIVER)
-        desk.node.commit()
-        assert (await desk.told())["data"]["state"] == "delivered"
+        assert bench.sink.requests.empty()
+        bench.node.close(bench.node.messages[1], Effect.DELIVER)
+        bench.node.commit()
+        assert (await bench.next_notice())["data"]["state"] == "delivered"
 
 
-def test_room_for_the_end_is_kept_when_the_event_is_taken_on(tmp_path, monkeypatch):
-    @with_desk(tmp_path)
-    async def _(desk):
+def test_room_for_the_notice_is_reserved_at_acceptance(tmp_path, monkeypatch):
+    @with_bench(tmp_path)
+    async def _(bench):
         asked = []
         monkeypatch.setattr(Journal, "has_room", lambda self, size: asked.append(size) or True)
-        await desk.post()
-        (await desk.partner.next()).answer(200)
-        await desk.told()
-        await desk.node.idle.wait()
-        browser = Browser(*await asyncio.open_connection(*desk.http))
+        await bench.post()
+        (await bench.partner.next()).answer(200)
+        await bench.next_notice()
+        await bench.node.idle.wait()
+        browser = Browser(*await asyncio.open_connection(*bench.http))
         browser.binary(id="2")
         await browser.answer()
         assert asked[0] > asked[1] + SINKS.room
