--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -409,7 +409,7 @@
 
     def acknowledges_later(self, destination: int) -> bool:
         """Whether the partner of the destination may answer 202 and acknowledge later."""
-        return self.registry.codecs.get(destination, PLATFORM).later(HTTP_ACCEPTED)
+        return self.registry.codecs.get(destination, PLATFORM).expects_acknowledgement(HTTP_ACCEPTED)
 
     def is_ordered(self, kept: JournalEntry) -> bool:
         """Whether messages with its key are delivered in order."""
@@ -805,7 +805,7 @@
         if not attributes or self.sinks is None:
             return
         at = datetime.now(UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
-        report = self.sinks.end_of(attributes, end.status, at)
+        report = self.sinks.end_notice(attributes, end.status, at)
         if report.id in self.by_id:  # an earlier process reported it but crashed before recording the end
             return
         self.numbers += 1
--- a/rushhitch/endpoints.py
+++ b/rushhitch/endpoints.py
@@ -16,8 +16,8 @@
 
 from crowpier.interface import Outcome, Settings, State
 from rushhitch.connection import Connection, Headers, NotSent
-from rushhitch.partners.codec import Attempt, Codec, Ends, MessageEnd
-from rushhitch.partners.platform import Platform, head_end
+from rushhitch.partners.codec import Attempt, Codec, ResultsById, AttemptResult
+from rushhitch.partners.platform import Platform, result_from_head
 
 log = logging.getLogger(__name__)
 
@@ -288,7 +288,7 @@
                 self.report(Result(attempt, endpoint, Outcome.NOT_EXECUTED, 0.0))
             return
         listed = self.entries[endpoint]
-        size = listed.codec.batch(listed.batch)
+        size = listed.codec.max_batch_size(listed.batch)
         for start in range(0, len(attempts), size):
             self.start_call(endpoint, attempts[start : start + size])
 
@@ -317,11 +317,11 @@
         if call is None:
             return
         if len(call.open) > 1:
-            self.end(call, call.open[message, number], MessageEnd(Outcome.CANCELLED))
+            self.end(call, call.open[message, number], AttemptResult(Outcome.CANCELLED))
         elif call.task is not None:
             call.task.cancel()
 
-    def end(self, call: Call, attempt: Attempt, message_end: MessageEnd) -> None:
+    def end(self, call: Call, attempt: Attempt, message_end: AttemptResult) -> None:
         key = (attempt.message, attempt.number)
         if call.open.pop(key, None) is None:
             return
@@ -343,7 +343,7 @@
             )
         )
 
-    def end_all(self, call: Call, message_end: MessageEnd) -> None:
+    def end_all(self, call: Call, message_end: AttemptResult) -> None:
         for attempt in list(call.open.values()):
             self.end(call, attempt, message_end)
 
@@ -428,19 +428,19 @@
             self.close(connection)
 
     @staticmethod
-    def broken_call_end(connection: Connection | None, call: Call, broken: Outcome) -> MessageEnd:
+    def broken_call_end(connection: Connection | None, call: Call, broken: Outcome) -> AttemptResult:
         """The end of each message of a call without a complete answer."""
         if broken is Outcome.NOT_EXECUTED:
-            return MessageEnd(Outcome.NOT_EXECUTED)
+            return AttemptResult(Outcome.NOT_EXECUTED)
         if connection is None or not connection.written:
-            return MessageEnd(broken if broken is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
+            return AttemptResult(broken if broken is Outcome.CANCELLED else Outcome.CONNECT_FAILED)
         if len(call.ids) == 1 and call.codec.delivered(connection.response_start):
-            call.later = call.codec.later(int(connection.response_start[9:12]))
-            return MessageEnd(Outcome.OK, delivered=True)
+            call.later = call.codec.expects_acknowledgement(int(connection.response_start[9:12]))
+            return AttemptResult(Outcome.OK, delivered=True)
         final = call.codec.final(connection.response_start)
         if broken is Outcome.TIMEOUT and connection.response_start:
-            return MessageEnd(Outcome.ERROR, final=final)  # its answer began and did not end
-        return MessageEnd(broken, final=final)
+            return AttemptResult(Outcome.ERROR, final=final)  # its answer began and did not end
+        return AttemptResult(broken, final=final)
 
     async def record(self, call: Call, attempts: list[Attempt]) -> bool:
         """Record the call's attempts in the journal right before the last byte, so that after a crash a
@@ -464,7 +464,7 @@
         since messages may end meanwhile."""
         for attempt in list(call.open.values()):
             if not self.may_send(attempt):
-                self.end(call, attempt, MessageEnd(Outcome.NOT_EXECUTED))
+                self.end(call, attempt, AttemptResult(Outcome.NOT_EXECUTED))
         attempts = [attempt for attempt in attempts if (attempt.message, attempt.number) in call.open]
         call.ids = [attempt.id for attempt in attempts]
         return attempts
@@ -510,7 +510,7 @@
         record = functools.partial(self.record, call, attempts)
         await connection.send("POST", written.target, written.headers, written.body, confirm, record)
 
-    async def read_answer(self, connection: Connection, call: Call) -> Ends:
+    async def read_answer(self, connection: Connection, call: Call) -> ResultsById:
         """Read the answer and return the end of each message. Only an answer that was read in full counts."""
         response = await connection.response()
         call.wait = call.codec.wait_ms(response, time.time())
@@ -520,16 +520,16 @@
                 self.retry_after.get(lane, 0.0), self.loop.time() + call.wait / 1000.0
             )
         body = await connection.body(MAX_RESPONSE_BYTES)
-        call.later = call.codec.later(response.status_code)
+        call.later = call.codec.expects_acknowledgement(response.status_code)
         if call.codec.withdrawn(response):
             self.withdrawn(call.endpoint)
-        ends = call.codec.ends(response, body, call.ids)
+        ends = call.codec.results(response, body, call.ids)
         if len(call.open) < len(call.ids):
             # One message of the batch was given up. The partner may then discard the whole call, so the
             # answer proves neither that the others ran nor that they did not; trusting it could lose them.
             # Messages that the partner reports as finished are not sent again.
             return {
-                name: MessageEnd(Outcome.ERROR, final=end.final or end.delivered)
+                name: AttemptResult(Outcome.ERROR, final=end.final or end.delivered)
                 for name, end in ends.items()
             }
         return ends
@@ -571,7 +571,7 @@
                 if not self.is_blocked(endpoint, connection):
                     outcome = Outcome.RESET
                     response = await self.exchange(connection, "GET", "/alive", [])
-                    outcome = head_end(response).outcome
+                    outcome = result_from_head(response).outcome
         except TimeoutError:
             outcome = Outcome.TIMEOUT if connection is not None else outcome
         except (OSError, h11.ProtocolError) as error:
--- a/rushhitch/fronts/cloudevents.py
+++ b/rushhitch/fronts/cloudevents.py
@@ -20,8 +20,8 @@
 
 from rushhitch.acceptor import Acceptor, BadRequest, Pending, Reply, Submission
 from rushhitch.cloudevents.events import BadEvent, Event
-from rushhitch.cloudevents.http import MOST_BATCH, decode
-from rushhitch.cloudevents.mapping import Rules, acknowledgement, placed
+from rushhitch.cloudevents.http import MAX_BATCH_BYTES, decode
+from rushhitch.cloudevents.mapping import Rules, acknowledgement, place_event
 from rushhitch.fronts.client_connection import (
     ClientConnection,
     CloseReason,
@@ -137,7 +137,7 @@
         self.finish_if_settled()
 
     def submission_of(self, event: Event) -> Submission:
-        placement = placed(event, self.rules, time.time())
+        placement = place_event(event, self.rules, time.time())
         return Submission(
             placement.id,
             placement.cls,
@@ -278,8 +278,8 @@
                     return
             elif isinstance(event, h11.Data):
                 self.body += event.data
-                if len(self.body) > MOST_BATCH:
-                    detail = f"a body of more than {MOST_BATCH} bytes: send several"
+                if len(self.body) > MAX_BATCH_BYTES:
+                    detail = f"a body of more than {MAX_BATCH_BYTES} bytes: send several"
                     self.reject(EventResult.problem(413, detail))
                     return
             elif isinstance(event, h11.EndOfMessage):
@@ -309,8 +309,8 @@
             # Request smuggling: a proxy may frame such a request differently (RFC 9112, section 6.1).
             return EventResult.problem(400, "Content-Length beside Transfer-Encoding: send one of them")
         for name, value in request.headers:
-            if name == b"content-length" and int(value) > MOST_BATCH:
-                return EventResult.problem(413, f"a body of {int(value)} bytes, more than {MOST_BATCH}")
+            if name == b"content-length" and int(value) > MAX_BATCH_BYTES:
+                return EventResult.problem(413, f"a body of {int(value)} bytes, more than {MAX_BATCH_BYTES}")
         return None
 
     def take_request(self) -> None:
--- a/tests/test_cloudevents.py
+++ b/tests/test_cloudevents.py
@@ -9,17 +9,17 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from rushhitch.cloudevents.events import BARRED, MOST_DATA, BadEvent, Event, is_json
+from rushhitch.cloudevents.events import FORBIDDEN_CHARACTERS, MAX_DATA_BYTES, BadEvent, Event, is_json
 from rushhitch.cloudevents.http import (
     BATCH,
-    MOST_EVENTS,
+    MAX_BATCH_EVENTS,
     STRUCTURED,
     decode,
     encode_batch,
     encode_binary,
     encode_structured,
 )
-from rushhitch.cloudevents.mapping import Rules, placed
+from rushhitch.cloudevents.mapping import Rules, place_event
 
 LEAST = {"id": "1", "source": "/a", "specversion": "1.0", "type": "t"}
 JSON = [("content-type", STRUCTURED)]
@@ -133,7 +133,9 @@
 
 # Any event, in any mode
 
-TEXT = st.text(st.characters(codec="utf-8"), max_size=30).filter(lambda text: not BARRED.search(text))
+TEXT = st.text(st.characters(codec="utf-8"), max_size=30).filter(
+    lambda text: not FORBIDDEN_CHARACTERS.search(text)
+)
 MEDIA = st.sampled_from(
     ["application/json", "text/plain; charset=utf-8", "application/octet-stream", "image/svg+xml", "a/b+JSON"]
 )
@@ -283,12 +285,13 @@
 
 
 def test_sizes_are_bounded():
-    assert only(decode(headers(), bytes(MOST_DATA)))[1].data == bytes(MOST_DATA)
-    refused(headers(), bytes(MOST_DATA + 1), status=413, attribute="data")
-    refused(JSON, json.dumps(LEAST | {"data": "x" * 3 * MOST_DATA}).encode(), status=413)
+    assert only(decode(headers(), bytes(MAX_DATA_BYTES)))[1].data == bytes(MAX_DATA_BYTES)
+    refused(headers(), bytes(MAX_DATA_BYTES + 1), status=413, attribute="data")
+    refused(JSON, json.dumps(LEAST | {"data": "x" * 3 * MAX_DATA_BYTES}).encode(), status=413)
     row = json.dumps(LEAST).encode()
     assert (
-        len(decode([("content-type", BATCH)], b"[" + b",".join([row] * MOST_EVENTS) + b"]")[1]) == MOST_EVENTS
+        len(decode([("content-type", BATCH)], b"[" + b",".join([row] * MAX_BATCH_EVENTS) + b"]")[1])
+        == MAX_BATCH_EVENTS
     )
     assert "1000" in refused([("content-type", BATCH)], b"[" + b",".join([row] * 10_000) + b"]", status=413)
     refused([("content-type", BATCH)], b"[" + bytes(2_000_000), status=413)
@@ -313,7 +316,7 @@
 
 
 def put(rules=RULES, **changes):
-    return placed(structured(**({"type": "etna.payment-order", "subject": "7"} | changes)), rules, NOW)
+    return place_event(structured(**({"type": "etna.payment-order", "subject": "7"} | changes)), rules, NOW)
 
 
 def test_an_event_is_placed_by_its_type_and_subject():
@@ -321,7 +324,7 @@
     assert (told.cls, told.destination, told.left_ms, told.key) == ("pay", 7, 8_000.0, 0)
     assert put(type="etna.balance.update").cls == "balance", "the longest beginning counts"
     assert (put(type="etna.other").cls, put(type="etna.other").left_ms) == ("note", 2_000.0)
-    named = Rules(RULES.classes, RULES.most_ms, "bank", {"of-etna": 2})
+    named = Rules(RULES.classes, RULES.max_deadline_ms, "bank", {"of-etna": 2})
     assert put(named, bank="of-etna").destination == 2
 
 
@@ -363,6 +366,6 @@
     with pytest.raises(BadEvent) as error:
         put(**changes)
     assert error.value.attribute == attribute
-    named = Rules(RULES.classes, RULES.most_ms, "bank", {"of-etna": 2})
-    with pytest.raises(BadEvent, match="no destination is called"):
+    named = Rules(RULES.classes, RULES.max_deadline_ms, "bank", {"of-etna": 2})
+    with pytest.raises(BadEvent, match="bank: unknown destination 'of-catania'"):
         put(named, bank="of-catania")
