--- a/rushhitch/membership/__init__.py
+++ b/rushhitch/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which dispatchers are there. `table`, `detector`, `bounds`, `sessions` decide, with no I/O and no clock."""
+"""Group membership of dispatchers. `table`, `detector`, `bounds` and `wire` do no I/O and read no clock."""
--- a/rushhitch/membership/view.py
+++ b/rushhitch/membership/view.py
@@ -1,4 +1,4 @@
-"""The seam between membership and those who use it: what a view owes them. No I/O, no clock."""
+"""Interface between membership and its users. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class State(IntEnum):
-    """How a member is held. Of two words on the same incarnation the higher one holds."""
+    """State of a member. For the same incarnation the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
     GONE = 2
-    LEFT = 3  # it said so itself
+    LEFT = 3  # announced by the member itself
 
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """A member as this process holds it; `since` in seconds of the clock that the view is asked by."""
+    """A member as seen by this process; `since` in seconds of the clock passed to the view."""
 
     name: str
     address: tuple[str, int]
@@ -26,39 +26,39 @@
     incarnation: int
     state: State
     since: float
-    one_way: bool = False  # the direct way to it fails, others reach it: a fact of the pair, no death
+    one_way: bool = False  # reachable by others only: a fault of the path, not of the member
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How many members may be acting now, this process among them."""
+    """Bounds on the number of members that may be acting now, this process included."""
 
-    least: int  # of those it can talk to, as of one detection time ago; 1 in a part of one
-    most: int  # all that cannot be proved gone, and those of the stated fleet that it never met
-    leased: bool  # it was in touch with more than half of them of late: others still count it
+    least: int  # members reachable as of one detection time ago; 1 when isolated
+    most: int  # members not proved gone, including those of the stated fleet never met
+    leased: bool  # holds a lease: recently in touch with a majority, so others still count it
 
 
 class View(Protocol):
-    """What users of the membership get. An implementation owes:
+    """Membership as offered to its users. Invariants of an implementation:
 
-    - `bounds(now).most` is at no moment under the number of members that act, whatever this process fails to
-      hear, as long as operators start no more than the stated fleet. What divides a limit goes by it.
-    - `members(now)` are ordered by name, and hold this process too.
-    - `subscribe` is called from the loop's thread with members that came or went, each at most once in the
-      time of damping, so that one which flaps does not make users flap. It must not raise.
+    - `bounds(now).most` is never below the number of acting members, whatever messages are lost, as long as
+      operators start no more than the stated fleet. Users that divide a limit rely on it.
+    - `members(now)` is ordered by name and includes this process.
+    - Subscribers are called from the loop's thread, per member at most once in each damping interval, so that
+      a flapping member does not make users flap. They must not raise.
     """
 
     def members(self, now: float) -> list[Seen]:
-        """All that are known, the gone and the left included while they are remembered."""
+        """All known members, including those gone or left while they are remembered."""
 
     def bounds(self, now: float) -> Bounds:
-        """How many may be acting."""
+        """Bounds on the number of acting members."""
 
     def subscribe(self, heard: Subscriber) -> None:
-        """Call it with each damped change of a member from now on."""
+        """Call `heard` with each damped change of a member from now on."""
 
 
 class Subscriber(Protocol):
-    """Hears of changes: the member as it is held now, and whether it counts as there."""
+    """Callback for changes: the member as seen now, and whether it counts as present."""
 
     def __call__(self, seen: Seen, there: bool) -> None: ...
