--- a/rushhitch/membership/show.py
+++ b/rushhitch/membership/show.py
@@ -1,4 +1,4 @@
-"""`python -m rushhitch members ADDRESS`: what a running dispatcher holds of the others."""
+"""`python -m rushhitch members ADDRESS`: shows the members as seen by a running dispatcher."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 from rushhitch.membership.server import call
 from rushhitch.membership.wire import Role, WireError
 
-PATIENCE_S = 3.0
-WATCH_S = 1.0
+FETCH_TIMEOUT_S = 3.0
+WATCH_INTERVAL_S = 1.0
 
 
 async def fetch(address: tuple[str, int], secret: bytes, role: Role = Role.SHOW) -> dict[str, Any]:
-    """What it tells. Raises `OSError`, `TimeoutError` or `WireError` where it cannot be had."""
-    async with asyncio.timeout(PATIENCE_S):
+    """The report of the dispatcher at `address`. Raises `OSError`, `TimeoutError` or `WireError`."""
+    async with asyncio.timeout(FETCH_TIMEOUT_S):
         process = int.from_bytes(os.urandom(8), "big")
         return json.loads(await call(address, role, process, secret, b""))
 
 
-def table(told: dict[str, Any]) -> str:
-    """Who is there, since when, and which ways work in one direction only."""
+def table(report: dict[str, Any]) -> str:
+    """Format a report as text: members, time in their state, and those only reachable through others."""
     rows = [("member", "state", "for s", "building", "incarnation", "address", "way")]
-    for row in told["members"]:
-        way = "itself" if row["name"] == told["name"] else "by others only" if row["one_way"] else ""
+    for row in report["members"]:
+        way = "itself" if row["name"] == report["name"] else "by others only" if row["one_way"] else ""
         since, incarnation = f"{row['for_s']:.0f}", str(row["incarnation"])
         rows.append((row["name"], row["state"], since, row["building"], incarnation, row["address"], way))
-    flags = [what for what in ("alone", "displaced") if told[what]]
-    flags += [] if told["leased"] else ["out of touch with half of them"]
+    flags = [what for what in ("alone", "displaced") if report[what]]
+    flags += [] if report["leased"] else ["out of touch with half of them"]
     head = (
-        f"{told['name']}: {told['least']} to {told['most']} may be acting; "
-        f"doubt of itself {told['doubt']} of 8; "
-        f"{told['sent_per_s']:.1f} datagrams and {told['sent_bytes_per_s']:.0f} bytes a second sent, "
-        f"{told['received_per_s']:.1f} and {told['received_bytes_per_s']:.0f} received"
+        f"{report['name']}: {report['least']} to {report['most']} may be acting; "
+        f"doubt of itself {report['doubt']} of 8; "
+        f"{report['sent_per_s']:.1f} datagrams and {report['sent_bytes_per_s']:.0f} bytes a second sent, "
+        f"{report['received_per_s']:.1f} and {report['received_bytes_per_s']:.0f} received"
     )
     return "\n".join([head, *(f"  {flag}" for flag in flags), *columns(rows)])
 
@@ -58,8 +58,7 @@
     role: Role = Role.SHOW,
     shown: Callable[[dict[str, Any]], str] = table,
 ) -> int:
-    """The command, which shows what a stream of that role tells. 0 where it was told, 2 where it could not be
-    had."""
+    """Print the report that a stream of `role` returns. Exit code: 0, or 2 without a report."""
     try:
         own = read_deployment(os.environ).membership
         if own is None:
@@ -70,11 +69,11 @@
                 f"{command} {word}: write host:port, the [membership] listen of a dispatcher"
             )
         while True:
-            told = ask(own, address, role)
-            print(json.dumps(told) if as_json else shown(told), flush=True)
+            report = ask(own, address, role)
+            print(json.dumps(report) if as_json else shown(report), flush=True)
             if not watch:
                 return 0
-            time.sleep(WATCH_S)
+            time.sleep(WATCH_INTERVAL_S)
     except DeploymentError as error:
         print(f"rushhitch: {error}", file=sys.stderr)
         return 2
