--- a/rushhitch/membership/rumours.py
+++ b/rushhitch/membership/rumours.py
@@ -1,4 +1,4 @@
-"""What a member passes on, and what its users are told: both bounded. No I/O, no clock."""
+"""Gossip queue and damping of change notifications; both bound their volume. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from rushhitch.membership.messages import Row, Vouch
 from rushhitch.membership.view import Seen, State
 
-DAMP_S = 2.0  # a change is told to users once it has held so long
-DAMP_MOST_S = 30.0  # a member that flaps is told of so seldom
+DAMPING_S = 2.0  # a change must last this long before subscribers are notified
+MAX_DAMPING_S = 30.0  # longest interval between notifications of a flapping member
 
 
 class Rumours:
-    """What is to be passed on, that first which went out least."""
+    """Queue of rows and vouches to gossip; those sent the fewest times go first."""
 
     def __init__(self) -> None:
         self.levels: list[OrderedDict[tuple[str, str], Row | Vouch]] = [OrderedDict()]
@@ -24,19 +24,19 @@
         return key in self.times
 
     def add(self, key: tuple[str, str], item: Row | Vouch) -> None:
-        """What was told of the same before is out."""
+        """Queue an item; it replaces the one with the same key and resets its count of sends."""
         if (before := self.times.get(key)) is not None:
             del self.levels[before][key]
         self.times[key] = 0
         self.levels[0][key] = item
 
     def take(self, most: int, times: int) -> Iterator[Row | Vouch]:
-        """Up to so many to go along now; each goes out so often at most."""
-        told: list[tuple[tuple[str, str], Row | Vouch, int]] = []
+        """Yield up to `most` items to send now; an item is removed once it was sent `times` times."""
+        taken: list[tuple[tuple[str, str], Row | Vouch, int]] = []
         for level, items in enumerate(self.levels):
-            while items and len(told) < most:  # what was never passed on: the newest first
-                told.append((*items.popitem(last=level == 0), level + 1))
-        for key, item, level in told:
+            while items and len(taken) < most:  # of items never sent, the newest first
+                taken.append((*items.popitem(last=level == 0), level + 1))
+        for key, item, level in taken:
             if level >= times:
                 del self.times[key]
             else:
@@ -48,38 +48,38 @@
 
 
 @dataclass(slots=True)
-class Damped:
-    """What users were told of a member, and when a change may be told."""
+class DampedMember:
+    """What subscribers were last told about a member; times in seconds."""
 
-    there: bool
-    turned_at: float
-    told_at: float = float("-inf")
+    present: bool
+    consistent_at: float
+    notified_at: float = float("-inf")
     flaps: int = 0
 
 
 class Damping:
-    """Members that came or went, once that has held, and the seldomer the more they flap."""
+    """Notifies of members that came or went, with an interval that doubles with each flap."""
 
     def __init__(self, own: str, now: float) -> None:
-        self.known: dict[str, Damped] = {own: Damped(True, now, now)}
+        self.known: dict[str, DampedMember] = {own: DampedMember(True, now, now)}
 
     def changes(self, now: float, members: Iterable[Seen]) -> list[tuple[Seen, bool]]:
-        """What users are to be told now, with whether it is there."""
-        found = []
+        """Changes to notify subscribers of now, each with whether the member is present."""
+        changes_due = []
         for seen in members:
-            there = seen.state <= State.SUSPECT
+            present = seen.state <= State.SUSPECT
             known = self.known.get(seen.name)
             if known is None:
-                self.known[seen.name] = Damped(there, now, now)
-                found.append((seen, there))
+                self.known[seen.name] = DampedMember(present, now, now)
+                changes_due.append((seen, present))
                 continue
-            if there == known.there:
-                known.turned_at = now
-                if now - known.told_at >= 4 * DAMP_MOST_S:
+            if present == known.present:
+                known.consistent_at = now
+                if now - known.notified_at >= 4 * MAX_DAMPING_S:
                     known.flaps = 0
                 continue
-            rest = min(DAMP_S * 2.0**known.flaps, DAMP_MOST_S)
-            if now - known.turned_at >= DAMP_S and now - known.told_at >= rest:
-                known.there, known.told_at, known.flaps = there, now, known.flaps + 1
-                found.append((seen, there))
-        return found
+            interval = min(DAMPING_S * 2.0**known.flaps, MAX_DAMPING_S)
+            if now - known.consistent_at >= DAMPING_S and now - known.notified_at >= interval:
+                known.present, known.notified_at, known.flaps = present, now, known.flaps + 1
+                changes_due.append((seen, present))
+        return changes_due
