--- a/rushhitch/membership/detector.py
+++ b/rushhitch/membership/detector.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from rushhitch.membership.bounds import KEEP, Lease, bounds, in_touch, window_s
+from rushhitch.membership.bounds import LEASE_GRACE, Lease, bounds, in_touch, window_s
 from rushhitch.membership.messages import (
     Ack,
     Ask,
@@ -241,7 +241,7 @@
     def bounds(self, now: float) -> Bounds:
         """As of now: a process that stood still, and has not ticked since, holds no lease."""
         alone = self.alone(now) and len(self.table.records) > 1
-        leased = self.leased and now - self.ticked_at < KEEP * self.tuning.forget_s
+        leased = self.leased and now - self.ticked_at < LEASE_GRACE * self.tuning.forget_s
         words = (self.tuning.forget_s, self.tuning.probe_s)
         return bounds(self.table, now, *words, alone, leased, self.woke_at)
 
@@ -476,9 +476,9 @@
         record = self.table.records.get(vouch.name)
         if record is None or record.state != State.SUSPECT or record.row.incarnation != vouch.incarnation:
             return
-        if vouch.by != self.table.name and record.vouched.get(vouch.by, 0) >= vouch.number:
+        if vouch.by != self.table.name and record.vouch_numbers.get(vouch.by, 0) >= vouch.number:
             return
-        record.vouched[vouch.by] = vouch.number
+        record.vouch_numbers[vouch.by] = vouch.number
         record.suspected_at = now
         record.by &= {self.table.name}
         if ("vouch", vouch.name) not in self.rumours:
@@ -487,7 +487,7 @@
     # What others tell
 
     def hear(self, now: float, row: Row, spread: bool = True) -> None:
-        if not row.sound():
+        if not row.is_valid():
             return
         before = self.table.records.get(row.name)
         held = before.state if before is not None else None
@@ -573,7 +573,7 @@
         self.out.append(Send((to.host, to.port), self.laden(message, to.name), to.process))
 
     def spread(self, record: Record) -> None:
-        self.rumours.add(("row", record.row.name), self.table.told(record))
+        self.rumours.add(("row", record.row.name), self.table.gossip_row(record))
 
     def laden(self, message: Message, to: str = "") -> Message:
         """With what was passed on least, and with how the receiver itself is held where that is ill of it."""
@@ -582,7 +582,7 @@
         vouches: list[Vouch] = []
         held = self.table.records.get(to)
         if held is not None and (held.state != State.ALIVE or message.me.name == to):
-            rows.append(self.table.told(held))
+            rows.append(self.table.gossip_row(held))
         for item in self.rumours.take(min(NEWS - len(rows), int(self.room)), most):
             self.room -= 1.0
             if isinstance(item, Row):
--- a/rushhitch/membership/messages.py
+++ b/rushhitch/membership/messages.py
@@ -1,7 +1,7 @@
-"""What members tell each other. Each message has its sender's own row; `news` are rows that go along.
+"""Messages between members. Each carries its sender's row; `news` are piggybacked rows.
 
-Sequence numbers mean something to their sender alone, and no time goes over the wire: an answer counts by
-when its question was sent, on the clock of who asked. So what waited in a socket is never taken for news.
+Sequence numbers have a meaning for their sender only, and no times go over the wire: an answer is dated by
+when its request was sent, by the requester's clock. So a delayed datagram is never taken for fresh.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 from rushhitch.membership.view import State
 
-MOST_NAME = 64  # characters
-MOST_BY = 8  # witnesses told of a suspicion
-MOST_COUNT = 1 << 62
+MAX_NAME_CHARS = 64
+MAX_WITNESSES = 8  # per suspicion
+MAX_COUNTER = 1 << 62  # exclusive, of incarnations and process numbers
 
 
 class Row(NamedTuple):
-    """One member as its teller holds it. `process` is a number that its process drew at its start; `by` are
-    those who could not reach it, where it is suspect."""
+    """A member as held by the sender. `process` is a random number drawn at process start; `by` names the
+    witnesses that could not reach it, while it is suspect."""
 
     name: str
     host: str
@@ -29,33 +29,33 @@
     state: int
     by: tuple[str, ...] = ()
 
-    def sound(self) -> bool:
-        """Whether it is one that a member can have told."""
+    def is_valid(self) -> bool:
+        """Whether all fields are within their limits."""
         return (
-            0 < len(self.name) <= MOST_NAME
-            and len(self.host) <= MOST_NAME
+            0 < len(self.name) <= MAX_NAME_CHARS
+            and len(self.host) <= MAX_NAME_CHARS
             and 0 < self.port < 65_536
-            and len(self.building) <= MOST_NAME
-            and 0 <= self.incarnation < MOST_COUNT
-            and 0 <= self.process < MOST_COUNT
+            and len(self.building) <= MAX_NAME_CHARS
+            and 0 <= self.incarnation < MAX_COUNTER
+            and 0 <= self.process < MAX_COUNTER
             and self.state in State._value2member_map_
-            and len(self.by) <= MOST_BY
-            and all(len(name) <= MOST_NAME for name in self.by)
+            and len(self.by) <= MAX_WITNESSES
+            and all(len(name) <= MAX_NAME_CHARS for name in self.by)
         )
 
 
 class Vouch(NamedTuple):
-    """Its teller had an answer of a member that others suspect in that incarnation."""
+    """Statement by `by` that it had an answer from a member while that incarnation was suspected."""
 
     name: str
     incarnation: int
     by: str
-    number: int  # of the teller's words, so that each counts once
+    number: int  # counts the voucher's vouches, so that each is applied once
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
-    """What each message has: its sender's row, a number, the digest of what its sender holds, and news."""
+class BaseMessage:
+    """Common fields: sender's row, sequence number, digest of the sender's table, piggybacked updates."""
 
     me: Row
     seq: int
@@ -65,25 +65,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ping(Said):
-    """Asks for an answer."""
+class Ping(BaseMessage):
+    """Requests an `Ack`."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ack(Said):
+class Ack(BaseMessage):
     """Answers a ping; `seq` is the ping's."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ask(Said):
-    """Asks another to ping `target`."""
+class Ask(BaseMessage):
+    """Requests an indirect probe: the receiver pings `target` and answers with `Relayed`."""
 
     target: Row = field(kw_only=True)
 
 
 @dataclass(frozen=True, slots=True)
-class Relayed(Said):
-    """How that went: it has answered, or not within the time of a ping; `seq` is the question's."""
+class Relayed(BaseMessage):
+    """Result of an indirect probe: whether the target answered in time; `seq` is the `Ask`'s."""
 
     answered: bool = field(kw_only=True)
 
@@ -97,19 +97,19 @@
 
     to: tuple[str, int]
     message: Message
-    process: int = 0  # of the receiver, where it is known
+    process: int = 0  # number of the receiver's process; 0 if unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """Exchange all rows with whoever is there, over a stream."""
+    """Exchange all rows with the member at that address over a stream (anti-entropy)."""
 
     to: tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Warn:
-    """Tell operators."""
+    """Log a warning for operators."""
 
     text: str
 
--- a/rushhitch/membership/server.py
+++ b/rushhitch/membership/server.py
@@ -19,7 +19,7 @@
 
 from rushhitch.config.deployment import MembershipSettings
 from rushhitch.membership.detector import Detector, Tuning
-from rushhitch.membership.kept import Kept
+from rushhitch.membership.kept import IncarnationFile
 from rushhitch.membership.messages import Exchange, Output, Row, Send, Warn
 from rushhitch.membership.view import Bounds, Seen, State, Subscriber
 from rushhitch.membership.wire import (
@@ -59,8 +59,8 @@
         self.loop = asyncio.get_running_loop()
         process = int.from_bytes(os.urandom(8), "big") >> 2
         host, port = told.advertise
-        self.kept = Kept(folder, told.name) if folder is not None else None
-        before = max(incarnation, self.kept.read() if self.kept is not None else 0)
+        self.incarnation_file = IncarnationFile(folder, told.name) if folder is not None else None
+        before = max(incarnation, self.incarnation_file.read() if self.incarnation_file is not None else 0)
         first = max(int(time.time() * 1000), before + 1)
         own = Row(told.name, host, port, told.building, first, process, int(State.ALIVE))
         self.told = told
@@ -143,8 +143,8 @@
             self.loop.add_reader(self.sock, self.readable)
         self.drain()  # what waited in the socket is taken before anybody is judged
         self.act(self.detector.tick(now))
-        if self.kept is not None:
-            self.kept.keep(now, self.detector.table.own.incarnation)
+        if self.incarnation_file is not None:
+            self.incarnation_file.store(now, self.detector.table.own.incarnation)
         for seen, there in self.detector.changes(now):
             log.info("member %s is %s", seen.name, "there" if there else seen.state.name.lower())
             for heard in self.subscribers:
--- a/rushhitch/membership/table.py
+++ b/rushhitch/membership/table.py
@@ -1,8 +1,8 @@
-"""Whose word on a member holds: rows by name, merged so that order, repeats and loss make no difference.
+"""Membership table: rows by member name, merged so that reordered, repeated or lost updates do no harm.
 
-A row holds against another by its incarnation first, then by the process that drew the higher number, then by
-its state. A member raises its own incarnation where others hold it suspect or gone; nobody else does. So an
-old incarnation never overrides a newer one, and a repeated row changes nothing.
+Rows are ordered by incarnation, then process number, then state; the higher one wins. Only a member itself
+raises its incarnation, when others hold it suspect or gone. Hence an old incarnation never overrides a newer
+one, and merging is idempotent.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from rushhitch.membership.messages import MOST_BY, Row
+from rushhitch.membership.messages import MAX_WITNESSES, Row
 from rushhitch.membership.view import State
 
-MOST_FORGOTTEN = 4  # times the stated fleet: so many that left or went are remembered
+DEPARTED_PER_FLEET = 4  # limit of departed members remembered, as a multiple of the stated fleet size
 
 
 @dataclass(slots=True)
 class Record:
-    """A member as it is held here; times in seconds by the clock of this process."""
+    """Local state of a member; times in seconds of this process's clock."""
 
     row: Row
-    since: float  # in this state
-    by: set[str] = field(default_factory=set)  # who could not reach it, in this incarnation
-    vouched: dict[str, int] = field(default_factory=dict)  # by teller, the number of its last word
+    since: float  # start of the current state
+    by: set[str] = field(default_factory=set)  # members that could not reach this incarnation
+    vouch_numbers: dict[str, int] = field(default_factory=dict)  # voucher's name -> number of its last vouch
     suspected_at: float = 0.0
-    answered_at: float = float("-inf")  # when the newest ping that it answered was sent
-    agreed_at: float = float("-inf")  # the same, of one that it answered with the digest that is held here
-    gone_for: float = 0.0  # seconds held gone while this process was in touch with more than half
+    answered_at: float = float("-inf")  # send time of the newest ping that it answered
+    agreed_at: float = float("-inf")  # the same, for an answer with the local digest
+    gone_for: float = 0.0  # seconds in state GONE while this process was in touch with a majority
 
     @property
     def state(self) -> State:
@@ -40,13 +40,13 @@
 
 
 class Merged(Enum):
-    """What a row did."""
+    """Result of merging a row."""
 
-    NOTHING = "it was known, or is old"
-    CHANGED = "it holds now"
-    WITNESS = "one more could not reach a member that is suspect"
-    REFUTED = "it was about this process, which has raised its incarnation"
-    DISPLACED = "a newer process has this name"
+    NOTHING = "already known or outdated"
+    CHANGED = "replaced the held row"
+    WITNESS = "added a witness to a suspicion"
+    REFUTED = "this process raised its incarnation"
+    DISPLACED = "a newer process owns this name"
 
 
 def rank(row: Row) -> tuple[int, int, int]:
@@ -54,24 +54,24 @@
 
 
 def mark(row: Row) -> int:
-    """64 bits of what members have to agree on; suspicions come and go and are left out."""
+    """64-bit hash of what members must agree on. SUSPECT counts as ALIVE, since suspicions are transient."""
     held = row.state if row.state >= State.GONE else State.ALIVE
     text = f"{row.name}\0{row.incarnation}\0{row.process}\0{held}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big")
 
 
 class Table:
-    """The rows of all members, this process's own among them."""
+    """Records of all members, this process included."""
 
     def __init__(self, own: Row, now: float, fleet: int) -> None:
         self.name, self.process, self.fleet = own.name, own.process, fleet
         self.records = {own.name: Record(own, now)}
         self.digest = mark(own)
-        self.there: dict[str, Record] = {}  # the others that are not held gone
-        self.over: dict[str, Record] = {}  # the others that are, or have left
+        self.there: dict[str, Record] = {}  # other members in state ALIVE or SUSPECT
+        self.departed: dict[str, Record] = {}  # other members in state GONE or LEFT
         self.suspects: set[str] = set()
         self.gone: set[str] = set()
-        self.settled = False  # past its joining: a namesake that comes now is a newer process
+        self.settled = False  # joining is complete: another process with this name is newer from now on
         self.displaced = False
 
     @property
@@ -79,21 +79,21 @@
         return self.records[self.name].row
 
     def others(self) -> list[Record]:
-        """The members beside this process that are not held gone."""
+        """Records of the other members in state ALIVE or SUSPECT."""
         return list(self.there.values())
 
-    def sort_in(self, record: Record) -> None:
+    def reindex(self, record: Record) -> None:
         name, state = record.row.name, record.state
         if name == self.name:
             return
         for names, held in ((self.suspects, State.SUSPECT), (self.gone, State.GONE)):
             (names.add if state == held else names.discard)(name)
-        now, before = (self.there, self.over) if record.present else (self.over, self.there)
+        now, before = (self.there, self.departed) if record.present else (self.departed, self.there)
         now[name] = record
         before.pop(name, None)
 
     def merge(self, row: Row, now: float) -> Merged:
-        """Take a row that another told."""
+        """Merge a row received from another member."""
         if row.name == self.name:
             return self.merge_own(row, now)
         known = self.records.get(row.name)
@@ -104,7 +104,7 @@
             same = row[4:6] == known.row[4:6]
             known.by = (known.by if same else set()) | set(row.by)
             if not same:
-                known.vouched.clear()
+                known.vouch_numbers.clear()
             self.change(known, row, now)
             return Merged.CHANGED
         if rank(row) == rank(known.row) and row.state == State.SUSPECT and not known.by >= set(row.by):
@@ -113,7 +113,7 @@
         return Merged.NOTHING
 
     def merge_own(self, row: Row, now: float) -> Merged:
-        """A row about this process's name: of itself, of the one before it, or of another one beside it."""
+        """Merge a row with this process's name: its own, its predecessor's or a concurrent process's."""
         own = self.own
         if row.process == self.process:
             if row.state == State.ALIVE or row.incarnation < own.incarnation or own.state == State.LEFT:
@@ -126,7 +126,7 @@
         if self.settled and row.state <= State.SUSPECT:
             self.displaced = True
             return Merged.DISPLACED
-        # The process before this one, or one that took the name and is over.
+        # From the predecessor, or from a process that took the name and has ended.
         self.displaced = False
         self.set_own(own._replace(incarnation=row.incarnation + 1, state=State.ALIVE), now)
         return Merged.REFUTED
@@ -135,7 +135,7 @@
         self.change(self.records[self.name], row, now)
 
     def hold(self, name: str, state: State, now: float, by: str = "") -> bool:
-        """This process's own verdict on another's present incarnation; False where it changes nothing."""
+        """Apply this process's verdict on a member's current incarnation; False if the state stays."""
         record = self.records[name]
         if by:
             record.by.add(by)
@@ -156,25 +156,25 @@
         record.row = row._replace(by=())
         if row.state == State.ALIVE:
             record.by.clear()
-        self.sort_in(record)
+        self.reindex(record)
 
     def put(self, record: Record) -> None:
         record.row = record.row._replace(by=())
         self.records[record.row.name] = record
         self.digest ^= mark(record.row)
-        self.sort_in(record)
-        if len(self.over) >= MOST_FORGOTTEN * max(self.fleet, 8):
-            oldest = min(self.over.values(), key=lambda r: (r.row.state != State.LEFT, r.since))
+        self.reindex(record)
+        if len(self.departed) >= DEPARTED_PER_FLEET * max(self.fleet, 8):
+            oldest = min(self.departed.values(), key=lambda r: (r.row.state != State.LEFT, r.since))
             del self.records[oldest.row.name]
-            del self.over[oldest.row.name]
+            del self.departed[oldest.row.name]
             self.gone.discard(oldest.row.name)
             self.digest ^= mark(oldest.row)
 
-    def told(self, record: Record) -> Row:
-        """The row as it goes to others, with its witnesses where it is suspect."""
+    def gossip_row(self, record: Record) -> Row:
+        """The row as sent to others, with up to `MAX_WITNESSES` witnesses while it is suspect."""
         if record.state != State.SUSPECT:
             return record.row
-        return record.row._replace(by=tuple(sorted(record.by)[:MOST_BY]))
+        return record.row._replace(by=tuple(sorted(record.by)[:MAX_WITNESSES]))
 
     def all_rows(self) -> list[Row]:
-        return [self.told(record) for record in self.records.values()]
+        return [self.gossip_row(record) for record in self.records.values()]
--- a/rushhitch/membership/wire.py
+++ b/rushhitch/membership/wire.py
@@ -134,7 +134,7 @@
         told.state,
         tuple(told.by),
     )
-    if not row.sound():
+    if not row.is_valid():
         raise WireError(f"a row that no member tells: {row!r}")
     return row
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -548,7 +548,7 @@
         )
     else:
         monkeypatch.setattr("rushhitch.membership.bounds.agreed", lambda *told: True)
-        monkeypatch.setattr("rushhitch.membership.bounds.WAIT", 0.0)
+        monkeypatch.setattr("rushhitch.membership.bounds.WAIT_WINDOWS", 0.0)
     for seed in range(40):
         world = storm(seed)
         if check(world.history, len(world.ports)):
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -13,7 +13,7 @@
 from lab.fleet import MemberFleet
 from lab.member_cases import cut, healed
 from lab.member_ways import SECRET, WayFault
-from rushhitch.membership.kept import FILE, Kept
+from rushhitch.membership.kept import FILE, IncarnationFile
 from rushhitch.membership.server import MOST_STREAMS
 from rushhitch.membership.show import fetch
 
@@ -190,19 +190,19 @@
 
 
 def test_what_is_kept_is_of_one_name_and_a_full_disk_is_no_harm(tmp_path):
-    kept = Kept(tmp_path, "a")
+    kept = IncarnationFile(tmp_path, "a")
     assert kept.read() == 0
-    kept.keep(10.0, 7)
-    assert kept.read() == 7 and Kept(tmp_path, "b").read() == 0
-    kept.keep(12.0, 9)
+    kept.store(10.0, 7)
+    assert kept.read() == 7 and IncarnationFile(tmp_path, "b").read() == 0
+    kept.store(12.0, 9)
     assert kept.read() == 7, "not so often"
-    kept.keep(15.0, 9)
+    kept.store(15.0, 9)
     assert kept.read() == 9
     for text in ("{}", "[1]", '{"name": "a", "incarnation": -1}', '{"name": "a", "incarnation": "9"}'):
         (tmp_path / FILE).write_text(text)
         assert kept.read() == 0
-    gone = Kept(tmp_path / "nowhere", "a")
-    gone.keep(1.0, 3)
+    gone = IncarnationFile(tmp_path / "nowhere", "a")
+    gone.store(1.0, 3)
     assert gone.written == 0 and gone.read() == 0
 
 
