--- a/rushhitch/membership/detector.py
+++ b/rushhitch/membership/detector.py
@@ -1,9 +1,9 @@
-"""Failure detection: probes, suspicion, doubt of oneself, dissemination. No I/O, no clock.
+"""Failure detection: probes, suspicion, local health, dissemination. No I/O, no clock.
 
-SWIM's probes with Lifeguard's doubts, and four rules of our own (`docs/design/membership.md`): only an answer
-to one's own question is a sign of life, and counts by when it was asked; a suspicion is looked into by a few
-others, who witness or vouch; nobody is held gone on one word, where another could be asked; and whoever stood
-still, or hears nobody, gives no verdict.
+SWIM with Lifeguard's local health, and four further rules (`docs/design/membership.md`): only an answer to
+one's own probe is a sign of life, dated by the time of the probe; some other members verify a suspicion, as
+witnesses or by a vouch; no member is declared gone on one report if another could be had; and a process that
+was paused, or hears nobody, gives no verdict.
 """
 
 from __future__ import annotations
@@ -32,60 +32,60 @@
 from rushhitch.membership.table import Merged, Record, Table
 from rushhitch.membership.view import Bounds, Seen, State
 
-MOST_ILL = 8  # of one's own doubt: Lifeguard's local health multiplier
-LATE_S = 3.0  # an answer that comes so late still tells that its member lived when it was asked
-RELAYS = 3  # others asked to ping who did not answer
-LATELY = 8  # they are chosen from so many
-WITNESSES = 2  # beside the one who suspects, where as many can be asked
-LOOKERS = 8.0  # of all who hear of a suspicion, about so many look for themselves
-RUMOURS = 1.5  # a row goes out so often, times the logarithm of the members
-MOST_SPREAD = 64  # rows of an exchange: of a longer one the others learn by exchanges of their own
-NEWS = 8  # rows in a datagram: below 1,200 bytes with all else
-ROWS_S = 16.0  # rows passed on a second: 1.1 kB. What has no room in that goes by an exchange of all
-MOST_ROOM = 64.0  # of them, saved up by a quiet time: a burst of kills is told at once
-SEEDS_S = 1.0  # between two tries of the seeds while nobody is known
-MISSING_S = 5.0  # between two tries of one seed that is no member: there may be another part of the fleet
-GONE_S = 2.0  # between two tries of one that is gone; doubled for each with nothing heard, up to
-GONE_MOST_S = 60.0
-SETTLE_S = 2.0  # after the start, one with our name is the process before this one
-DISPLACED_S = 5.0  # between two questions whether a newer process of our name is still there
-EXCHANGE_S = 2.0  # between two exchanges, and the more the more members there are
-DIFFERS = 3  # probes in a row whose digest differs, before rows are exchanged
+MAX_ILL = 8  # upper limit of `ill`, Lifeguard's local health multiplier
+LATE_ANSWER_S = 3.0  # a late answer within this time still shows that the member was alive when probed
+RELAY_COUNT = 3  # indirect probes per failed direct probe
+RELAY_CANDIDATES = 8  # most recently heard members that relays are chosen from
+MIN_WITNESSES = 2  # required in addition to this process, if that many are reachable
+VERIFIERS = 8.0  # expected number of members that probe a suspect when they hear of it
+GOSSIP_FACTOR = 1.5  # times log2 of the number of members: sends of each row
+MAX_EXCHANGE_GOSSIP = 64  # rows of an exchange passed on; members learn more rows by their own exchanges
+MAX_NEWS_ROWS = 8  # rows in a datagram: keeps it below 1,200 bytes
+GOSSIP_ROWS_PER_S = 16.0  # gossip rate limit (1.1 kB/s); the excess is left to full exchanges
+MAX_GOSSIP_BURST = 64.0  # rows; lets a burst of failures be gossiped at once
+SEED_RETRY_S = 1.0  # while no member is known
+MISSING_SEED_RETRY_S = 5.0  # for a seed that is no known member: the fleet may be partitioned
+GONE_RETRY_S = 2.0  # initial interval of probes of a gone member; doubles up to `MAX_GONE_RETRY_S`
+MAX_GONE_RETRY_S = 60.0
+JOIN_S = 2.0  # after the start, during which a process with this name is the predecessor
+DISPLACED_CHECK_S = 5.0  # interval of checks whether the newer process with this name still exists
+EXCHANGE_INTERVAL_S = 2.0  # minimum; grows with the number of members
+MIN_REPEATS = 3  # repeats before a digest mismatch starts an exchange, or a path counts as one-way
 
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
     """Times in seconds."""
 
-    probe_s: float = 0.2  # between two probes
-    direct_s: float = 0.15  # an answer is waited for so long at least, and three usual round trips
-    verdict_s: float = 0.45  # from the probe to its failure, relays included
-    suspect_s: float = 0.8  # a suspicion lasts so long at least, and more by the logarithm of the members
-    patience: float = 5.0  # times that, where nobody witnesses
-    pause_s: float = 0.5  # between two ticks: longer, and this process stood still
-    forget_s: float = 600.0  # `bounds`
-    fleet: int = 1  # the number of members that operators state
+    probe_s: float = 0.2  # interval of probes
+    direct_s: float = 0.15  # minimum timeout of a direct probe; at least three typical round trips
+    verdict_s: float = 0.45  # minimum time until a probe fails, relays included
+    suspect_s: float = 0.8  # minimum duration of a suspicion; grows with log10 of the number of members
+    patience: float = 5.0  # multiple of `suspect_s` without witnesses
+    pause_s: float = 0.5  # a longer gap between ticks is a pause of this process
+    forget_s: float = 600.0  # see `bounds`
+    fleet: int = 1  # stated fleet size
 
 
 @dataclass(slots=True)
 class Probe:
-    """A question that is out. `asked_by` is who wanted it, and their number for it."""
+    """A probe in flight. `asked_by`: requester of an indirect probe and the `seq` of its `Ask`."""
 
     target: str
     sent_at: float
-    again_at: float  # a second ping, where the first or its answer was lost
+    again_at: float  # when a second ping is sent, in case the first or its answer was lost
     relays_at: float
     ends_at: float
     asked_again: bool = False
     relays: int = 0
-    answers: int = 0  # of relays, either way
-    over: bool = False  # judged: a late answer still tells something
+    answers: int = 0  # from relays, positive or negative
+    over: bool = False  # judged; a late answer still shows that the member was alive
     asked_by: tuple[Row, int] | None = None
 
 
 @dataclass(slots=True)
 class Counts:
-    """For operators."""
+    """Counters in the JSON of `members`, by field name."""
 
     probes: int = 0
     failed: int = 0
@@ -98,59 +98,59 @@
 
 
 @dataclass(slots=True)
-class Way:
-    """The direct way to a member: its usual round trip, and whether probes fail on it that relays carry."""
+class DirectPath:
+    """Smoothed round trip to a member, and consecutive probes that succeeded only through relays."""
 
-    trip_s: float = 0.0
-    failing: int = 0
+    rtt_s: float = 0.0
+    relayed_only: int = 0
 
 
 class Detector:
-    """One member. `tick` every 0.1 s or so, `receive` what comes; both give what to do."""
+    """One member. Call `tick` about every 0.1 s and `receive` per message; both return actions to take."""
 
-    def __init__(self, own: Row, tuning: Tuning, chance: random.Random, now: float) -> None:
-        self.tuning, self.chance = tuning, chance
+    def __init__(self, own: Row, tuning: Tuning, rng: random.Random, now: float) -> None:
+        self.tuning, self.rng = tuning, rng
         self.table = Table(own, now, tuning.fleet)
         self.started_at = self.ticked_at = self.woke_at = now
-        self.ill = 0  # 0 to `MOST_ILL`: so much longer are one's own verdicts
+        self.ill = 0  # 0 to `MAX_ILL`; lengthens this process's timeouts
         self.seq = 0
         self.probes: dict[int, Probe] = {}
-        self.round: list[str] = []
+        self.probe_order: list[str] = []
         self.urgent: list[str] = []
         self.next_probe = now
-        self.newer: Row | None = None  # who took this process's name, where it was taken
+        self.displacer: Row | None = None  # the newer process that took this name
         self.rumours = Rumours()
         self.vouches = 0
         self.seeds: list[tuple[str, int]] = []
         self.next_seed = now
-        self.gone_tries: dict[str, tuple[float, float]] = {}  # when next, and how long after that
-        self.ways: dict[str, Way] = {}
-        self.differs = 0
+        self.gone_tries: dict[str, tuple[float, float]] = {}  # name -> next probe, interval
+        self.paths: dict[str, DirectPath] = {}
+        self.mismatches = 0
         self.next_exchange = now
-        self.heard_at = now  # when the newest question was asked that anybody answered
+        self.heard_at = now  # send time of the newest probe that any member answered
         self.damping = Damping(own.name, now)
         self.counts = Counts()
         self.gone_gap = 0.0
         self.lease = Lease()
         self.leased = False
-        self.room = MOST_ROOM  # rows that may be passed on now
-        self.out: list[Output] = []
+        self.room = MAX_GOSSIP_BURST  # rows that may be gossiped now
+        self.outputs: list[Output] = []
 
-    # What is asked of it
+    # Inputs
 
     def join(self, seeds: Iterable[tuple[str, int]]) -> None:
-        """Look for the fleet there, for as long as nobody is known."""
+        """Set the addresses to contact for joining the fleet."""
         own = (self.table.own.host, self.table.own.port)
         self.seeds = [seed for seed in seeds if seed != own]
 
     def tick(self, now: float) -> list[Output]:
-        """What time brings."""
+        """Handle timeouts and send due probes."""
         self.wake(now)
-        for seq in [seq for seq, probe in self.probes.items() if now >= probe.ends_at + LATE_S]:
+        for seq in [seq for seq, probe in self.probes.items() if now >= probe.ends_at + LATE_ANSWER_S]:
             del self.probes[seq]
         for seq, probe in list(self.probes.items()):
             if not probe.over:
-                self.follow(now, seq, probe)
+                self.advance(now, seq, probe)
         self.bury(now)
         if self.table.own.state != State.LEFT and not self.table.displaced:
             while now >= self.next_probe:
@@ -161,30 +161,30 @@
             self.look_for_seeds(now)
             self.look_for_gone(now)
         elif self.table.displaced and now >= self.next_probe:
-            self.next_probe = now + DISPLACED_S
+            self.next_probe = now + DISPLACED_CHECK_S
             others = [record.row for record in self.table.others()]
-            asked = self.chance.sample(others, min(1, len(others)))
-            for row in asked if self.newer is None else [*asked, self.newer]:
+            asked = self.rng.sample(others, min(1, len(others)))
+            for row in asked if self.displacer is None else [*asked, self.displacer]:
                 self.send(row, Ping(self.table.own, self.number(), self.table.digest))
         window = window_s(self.table, self.tuning.probe_s)
-        words = (self.tuning.forget_s, window, self.tuning.pause_s)
-        self.leased = self.lease.held(self.table, now, *words) and not self.table.displaced
-        self.table.settled |= now - self.started_at >= SETTLE_S
+        args = (self.tuning.forget_s, window, self.tuning.pause_s)
+        self.leased = self.lease.held(self.table, now, *args) and not self.table.displaced
+        self.table.settled |= now - self.started_at >= JOIN_S
         return self.taken()
 
     def receive(self, now: float, message: Message) -> list[Output]:
-        """A message that its sender has proved to be from the fleet."""
+        """Handle an authenticated message."""
         self.wake(now)
         me, own = message.me, self.table.own
         if own.state == State.LEFT:
             return self.taken()
         if me.name == own.name and me.process != own.process and not self.table.displaced:
-            self.out.append(Warn(f"another process, at {me.host}:{me.port}, claims our name {me.name}"))
+            self.outputs.append(Warn(f"another process, at {me.host}:{me.port}, claims our name {me.name}"))
         known = self.table.records.get(me.name)
         stranger = known is None
-        self.hear(now, me)
+        self.hear_row(now, me)
         for row in message.news:
-            self.hear(now, row)
+            self.hear_row(now, row)
         for vouch in message.vouches:
             self.hear_vouch(now, vouch)
         if self.table.displaced:
@@ -193,31 +193,31 @@
             case Ping():
                 self.reply(me, Ack(self.table.own, message.seq, self.table.digest))
             case Ask():
-                self.start(now, message.target, asked_by=(me, message.seq))
+                self.start_probe(now, message.target, asked_by=(me, message.seq))
             case Ack():
-                self.answered(now, message.seq, me, message.digest)
+                self.handle_ack(now, message.seq, me, message.digest)
             case Relayed():
-                self.relayed(now, message.seq, message.answered)
-        self.compare(now, message, stranger)
+                self.handle_relayed(now, message.seq, message.answered)
+        self.compare_digests(now, message, stranger)
         return self.taken()
 
     def merge(self, now: float, rows: Iterable[Row]) -> list[Output]:
-        """All rows of another, by an exchange."""
+        """Merge all rows of another member, received by an exchange."""
         self.wake(now)
         rows = list(rows)
         for row in rows:
-            self.hear(now, row, spread=len(rows) <= MOST_SPREAD)
-        self.differs = 0
+            self.hear_row(now, row, spread=len(rows) <= MAX_EXCHANGE_GOSSIP)
+        self.mismatches = 0
         return self.taken()
 
     def leave(self, now: float) -> list[Output]:
-        """Say so to a few: they pass it on."""
+        """Announce to some members that this process leaves; they gossip it."""
         own = self.table.own
         if self.table.displaced or own.state == State.LEFT:
             return []
         self.table.set_own(own._replace(state=int(State.LEFT)), now)
         there = self.table.others()
-        for record in self.chance.sample(there, min(len(there), 2 * RELAYS)):
+        for record in self.rng.sample(there, min(len(there), 2 * RELAY_COUNT)):
             self.send(record.row, Ping(self.table.own, self.number(), self.table.digest))
         return self.taken()
 
@@ -233,42 +233,42 @@
                 r.row.incarnation,
                 State.GONE if alone and r.present and r.row.name != self.table.name else r.state,
                 r.since,
-                (way := self.ways.get(r.row.name)) is not None and way.failing >= DIFFERS and r.present,
+                (p := self.paths.get(r.row.name)) is not None and p.relayed_only >= MIN_REPEATS and r.present,
             )
             for _, r in sorted(self.table.records.items())
         ]
 
     def bounds(self, now: float) -> Bounds:
-        """As of now: a process that stood still, and has not ticked since, holds no lease."""
+        """Bounds as of now; no lease after a pause that no tick has handled yet."""
         alone = self.alone(now) and len(self.table.records) > 1
         leased = self.leased and now - self.ticked_at < LEASE_GRACE * self.tuning.forget_s
-        words = (self.tuning.forget_s, self.tuning.probe_s)
-        return bounds(self.table, now, *words, alone, leased, self.woke_at)
+        args = (self.tuning.forget_s, self.tuning.probe_s)
+        return bounds(self.table, now, *args, alone, leased, self.woke_at)
 
     def alone(self, now: float, longer_s: float = 0.0) -> bool:
-        """Whether nobody answers: then what is not heard is no news of others."""
+        """Whether no member answers; missing answers then say nothing about the others."""
         waited = self.tuning.verdict_s * 2.0 + self.tuning.probe_s * (1 + self.ill)
         return now - self.heard_at >= waited + max(self.tuning.suspect_s, longer_s)
 
     def changes(self, now: float) -> list[tuple[Seen, bool]]:
-        """What users are to be told: members that came or went (`Damping`)."""
+        """Members that came or went, to notify subscribers of (see `Damping`)."""
         return self.damping.changes(now, self.members(now))
 
-    # One's own standing still
+    # Pauses of this process
 
     def wake(self, now: float) -> None:
-        """Guards against judging others by what this process did not hear while it stood still, or asleep:
-        its questions are void, its suspicions last longer, and it doubts itself."""
+        """Update the clock. After a pause, probes in flight are void, suspicions extended and `ill` rises,
+        since otherwise members would be judged by answers that this process could not receive."""
         gap = now - self.ticked_at
         self.ticked_at = max(now, self.ticked_at)
-        self.room = min(self.room + max(gap, 0.0) * ROWS_S, MOST_ROOM)
+        self.room = min(self.room + max(gap, 0.0) * GOSSIP_ROWS_PER_S, MAX_GOSSIP_BURST)
         if gap < self.tuning.pause_s:
             if gap > 0 and self.table.gone:
                 self.count_gone(now, gap)
             return
         self.counts.pauses += 1
         self.woke_at = now
-        self.ill = min(self.ill + 2, MOST_ILL)
+        self.ill = min(self.ill + 2, MAX_ILL)
         for probe in self.probes.values():
             probe.over = True
         self.heard_at += gap
@@ -279,7 +279,7 @@
         self.next_probe = now
 
     def count_gone(self, now: float, gap: float) -> None:
-        """Time counts towards the proof that a member is gone while this process is in touch with enough."""
+        """Add to `gone_for` of gone members while this process is in touch with a majority."""
         self.gone_gap += gap
         if self.gone_gap >= 0.5:
             if not self.alone(now) and in_touch(self.table, now, self.tuning.forget_s):
@@ -288,8 +288,8 @@
             self.gone_gap = 0.0
 
     def failing(self) -> None:
-        """Sends fail here: it is this process that is ill."""
-        self.ill = min(self.ill + 1, MOST_ILL)
+        """Record a failed send, a fault of this process."""
+        self.ill = min(self.ill + 1, MAX_ILL)
 
     # Probes
 
@@ -301,35 +301,35 @@
         while self.urgent:
             record = self.table.records.get(self.urgent.pop(0))
             if record is not None and record.present and record.row.name != self.table.name:
-                self.start(now, record.row)
+                self.start_probe(now, record.row)
                 return
         for _ in range(2):
-            while self.round:
-                record = self.table.records.get(self.round.pop())
+            while self.probe_order:
+                record = self.table.records.get(self.probe_order.pop())
                 if record is not None and record.present:
-                    self.start(now, record.row)
+                    self.start_probe(now, record.row)
                     return
-            self.round = [record.row.name for record in self.table.others()]
-            self.chance.shuffle(self.round)
+            self.probe_order = [record.row.name for record in self.table.others()]
+            self.rng.shuffle(self.probe_order)
 
-    def start(self, now: float, target: Row, asked_by: tuple[Row, int] | None = None) -> None:
-        """Ping it."""
+    def start_probe(self, now: float, target: Row, asked_by: tuple[Row, int] | None = None) -> None:
+        """Ping `target`; with `asked_by`, as its relay."""
         if target.name == self.table.name:
             return
-        way = self.ways.setdefault(target.name, Way())
-        direct = max(self.tuning.direct_s, 3.0 * way.trip_s) * (1.0 + self.ill / 4.0)
+        path = self.paths.setdefault(target.name, DirectPath())
+        direct = max(self.tuning.direct_s, 3.0 * path.rtt_s) * (1.0 + self.ill / 4.0)
         whole = max(self.tuning.verdict_s, 2.5 * direct)
         seq = self.number()
         if asked_by is not None:
-            direct = whole = max(self.tuning.direct_s, 3.0 * way.trip_s)
+            direct = whole = max(self.tuning.direct_s, 3.0 * path.rtt_s)
         ends = (now + direct / 2.0, now + direct, now + whole)
         self.probes[seq] = Probe(target.name, now, *ends, asked_by=asked_by)
         self.counts.probes += asked_by is None
         record = self.table.records.get(target.name)
         self.send(target if record is None else record.row, Ping(self.table.own, seq, self.table.digest))
 
-    def follow(self, now: float, seq: int, probe: Probe) -> None:
-        """Ask again, then others, where no answer came, and judge where none came by them either."""
+    def advance(self, now: float, seq: int, probe: Probe) -> None:
+        """Advance an unanswered probe: ping again, then ask relays, then judge."""
         known = self.table.records.get(probe.target)
         if now >= probe.again_at and not probe.asked_again and known is not None and known.present:
             probe.asked_again = True
@@ -350,23 +350,23 @@
         unheard = probe.relays > 0 and not probe.answers
         if now >= probe.ends_at + (self.tuning.direct_s if unheard else 0.0):
             probe.over = True
-            self.failed(now, probe)
+            self.probe_failed(now, probe)
 
     def relays_for(self, target: str) -> list[Record]:
-        """Whom to ask about it: who answered last, and some of those who answered lately. They are known to
-        be in reach, also where most are dead."""
+        """Relays for a probe: the last member that answered, and some others that answered lately. They are
+        known to be reachable, even if most members are dead."""
         there = [r for r in self.table.others() if r.row.name != target and r.state == State.ALIVE]
-        first, *rest = heapq.nlargest(LATELY, there, key=lambda r: r.answered_at) or [None]
+        first, *rest = heapq.nlargest(RELAY_CANDIDATES, there, key=lambda r: r.answered_at) or [None]
         if first is None:
             return []
-        return [first, *self.chance.sample(rest, min(len(rest), RELAYS - 1))]
+        return [first, *self.rng.sample(rest, min(len(rest), RELAY_COUNT - 1))]
 
-    def failed(self, now: float, probe: Probe) -> None:
+    def probe_failed(self, now: float, probe: Probe) -> None:
         self.counts.failed += 1
         record = self.table.records[probe.target]
-        if probe.relays > 0 and not probe.answers:  # not even a relay's no: the fault may be here
+        if probe.relays > 0 and not probe.answers:  # no relay answered either: the fault may be local
             if self.heard_at < probe.sent_at:
-                self.ill = min(self.ill + 1, MOST_ILL)
+                self.ill = min(self.ill + 1, MAX_ILL)
             return
         if not record.present or record.answered_at >= probe.sent_at:
             return
@@ -377,18 +377,18 @@
             self.counts.changes += fresh
             self.spread(record)
         elif self.overdue(now, record):
-            self.spread(record)  # a witness's word was lost: no digest tells of that
+            self.spread(record)  # a witness's report was lost; digests do not cover suspicions
 
-    def answered(self, now: float, seq: int, who: Row, digest: int) -> None:
-        """An answer to a ping of ours: whoever it is was alive when it was asked."""
+    def handle_ack(self, now: float, seq: int, who: Row, digest: int) -> None:
+        """Handle an answer: its sender was alive when the ping was sent."""
         probe = self.probes.get(seq)
         if probe is None or probe.target != who.name:
             return
-        way = self.ways.setdefault(who.name, Way())
-        trip = now - probe.sent_at
-        way.trip_s = min(0.8 * way.trip_s + 0.2 * trip if way.trip_s else trip, 1.0)
-        way.failing = 0
-        self.lives(now, probe)
+        path = self.paths.setdefault(who.name, DirectPath())
+        rtt = now - probe.sent_at
+        path.rtt_s = min(0.8 * path.rtt_s + 0.2 * rtt if path.rtt_s else rtt, 1.0)
+        path.relayed_only = 0
+        self.mark_alive(now, probe)
         if digest == self.table.digest and (record := self.table.records.get(who.name)) is not None:
             record.agreed_at = max(record.agreed_at, probe.sent_at)
         if probe.asked_by is not None:
@@ -403,26 +403,26 @@
         who, number = probe.asked_by
         self.reply(who, Relayed(self.table.own, number, self.table.digest, answered=answered))
 
-    def relayed(self, now: float, seq: int, answered: bool) -> None:
+    def handle_relayed(self, now: float, seq: int, answered: bool) -> None:
         probe = self.probes.get(seq)
         if probe is None or probe.asked_by is not None:
             return
         probe.answers += 1
-        self.heard(now, probe.sent_at)  # the relay lives
+        self.note_answer(now, probe.sent_at)  # the relay is alive
         if answered:
-            self.lives(now, probe)
+            self.mark_alive(now, probe)
             if not probe.over:
-                self.ways.setdefault(probe.target, Way()).failing += 1
+                self.paths.setdefault(probe.target, DirectPath()).relayed_only += 1
             probe.over = True
 
-    def heard(self, now: float, asked_at: float) -> None:
-        """Somebody lives who was asked then."""
+    def note_answer(self, now: float, asked_at: float) -> None:
+        """Record that some member answered a probe sent at `asked_at`."""
         if self.alone(now):
-            self.woke_at = now  # what is held of the others is from before
+            self.woke_at = now  # the states of other members are outdated
         self.heard_at = max(self.heard_at, asked_at)
 
-    def lives(self, now: float, probe: Probe) -> None:
-        self.heard(now, probe.sent_at)
+    def mark_alive(self, now: float, probe: Probe) -> None:
+        self.note_answer(now, probe.sent_at)
         record = self.table.records.get(probe.target)
         if record is None:
             return
@@ -437,42 +437,42 @@
     # Suspicions
 
     def lasts(self, record: Record) -> float:
-        """How long a suspicion lasts, by who shares it."""
+        """Duration of a suspicion in seconds; shorter with more witnesses (Lifeguard)."""
         size = max(len(self.table.there) + 1, 2)
         least = self.tuning.suspect_s * max(1.0, math.log10(size))
         most = least * self.tuning.patience
-        all_of_them = 1 + max(WITNESSES, 1)
-        share = math.log(min(len(record.by), all_of_them) or 1) / math.log(all_of_them)
+        required = 1 + max(MIN_WITNESSES, 1)
+        share = math.log(min(len(record.by), required) or 1) / math.log(required)
         return (most - (most - least) * share) * (1.0 + self.ill / 4.0)
 
     def overdue(self, now: float, record: Record) -> bool:
         return record.state == State.SUSPECT and now - record.suspected_at >= self.lasts(record)
 
     def bury(self, now: float) -> None:
-        """Hold those gone whose suspicion has lasted, where others share it."""
+        """Declare suspects gone whose suspicion has expired and has enough witnesses."""
         if self.alone(now) or self.table.displaced:
-            return  # what is not heard is no news of others
+            return  # missing answers say nothing about others
         for name in list(self.table.suspects):
             record = self.table.records[name]
             if not self.overdue(now, record) or record.answered_at >= record.suspected_at:
                 continue
             fresh = 2.0 * (self.tuning.verdict_s + self.tuning.probe_s * (len(self.table.there) + 1))
-            could = sum(
+            reachable = sum(
                 r.state == State.ALIVE and now - r.answered_at < fresh
                 for r in self.table.others()
                 if r is not record
             )
-            if len(record.by - {self.table.name}) < min(WITNESSES, could):
+            if len(record.by - {self.table.name}) < min(MIN_WITNESSES, reachable):
                 continue
             self.table.hold(record.row.name, State.GONE, now)
             self.counts.burials += 1
             self.counts.changes += 1
-            self.ways.pop(record.row.name, None)
-            self.gone_tries[record.row.name] = (now + GONE_S, GONE_S)
+            self.paths.pop(record.row.name, None)
+            self.gone_tries[record.row.name] = (now + GONE_RETRY_S, GONE_RETRY_S)
             self.spread(record)
 
     def hear_vouch(self, now: float, vouch: Vouch) -> None:
-        """Somebody had an answer of it: the suspicion begins anew, without those who witnessed before."""
+        """Apply a vouch: restart the suspicion without its previous witnesses."""
         record = self.table.records.get(vouch.name)
         if record is None or record.state != State.SUSPECT or record.row.incarnation != vouch.incarnation:
             return
@@ -484,9 +484,9 @@
         if ("vouch", vouch.name) not in self.rumours:
             self.rumours.add(("vouch", vouch.name), vouch)
 
-    # What others tell
+    # Updates from others
 
-    def hear(self, now: float, row: Row, spread: bool = True) -> None:
+    def hear_row(self, now: float, row: Row, spread: bool = True) -> None:
         if not row.is_valid():
             return
         before = self.table.records.get(row.name)
@@ -496,71 +496,73 @@
         if done is Merged.NOTHING:
             return
         if done is Merged.DISPLACED:
-            if self.newer is None or self.newer.process != row.process:
-                self.out.append(
+            if self.displacer is None or self.displacer.process != row.process:
+                self.outputs.append(
                     Warn(
                         f"another process, at {row.host}:{row.port}, has the name {row.name} and is newer: "
                         "this one takes no part until it is gone. Give each its own [membership] name"
                     )
                 )
-                # The other one is to hear of it as well.
+                # Lets the other process detect the conflict too.
                 self.send(row, Ping(self.table.own, self.number(), self.table.digest))
-            self.newer = row
+            self.displacer = row
             return
         if done is Merged.REFUTED:
             if row.process != self.table.process and self.table.settled:
-                self.out.append(Warn(f"another process had the name {row.name}, and is over"))
+                self.outputs.append(Warn(f"another process had the name {row.name}, and is over"))
             elif row.process == self.table.process:
                 self.counts.refuted += 1
-                self.ill = min(self.ill + 1, MOST_ILL)
+                self.ill = min(self.ill + 1, MAX_ILL)
         if done is Merged.CHANGED:
             self.counts.changes += held is None or held != record.state
             if record.present:
                 self.gone_tries.pop(row.name, None)
             elif record.state == State.GONE:
-                self.gone_tries.setdefault(row.name, (now + GONE_S, GONE_S))
+                self.gone_tries.setdefault(row.name, (now + GONE_RETRY_S, GONE_RETRY_S))
         if record.state == State.SUSPECT and row.name != self.table.name:
-            looks = min(1.0, LOOKERS / max(len(self.table.there), 1))
+            probability = min(1.0, VERIFIERS / max(len(self.table.there), 1))
             if self.table.name not in record.by and row.name not in self.urgent:
-                if self.chance.random() < looks:
+                if self.rng.random() < probability:
                     self.urgent.append(row.name)
         if spread or row.name == self.table.name:
             self.spread(record)
 
-    def compare(self, now: float, message: Message, stranger: bool) -> None:
-        """Exchange all rows where news alone does not make two views alike, or with the first that is met."""
+    def compare_digests(self, now: float, message: Message, stranger: bool) -> None:
+        """Request a full exchange if gossip does not converge, or with the first member met."""
         if message.digest == self.table.digest:
-            self.differs = 0
+            self.mismatches = 0
             return
-        self.differs += 1
+        self.mismatches += 1
         joining = stranger and len(self.table.records) <= 2
-        if now >= self.next_exchange and (self.differs >= DIFFERS or joining):
-            self.differs = 0
+        if now >= self.next_exchange and (self.mismatches >= MIN_REPEATS or joining):
+            self.mismatches = 0
             self.counts.exchanges += 1
-            self.next_exchange = now + EXCHANGE_S * (1.0 + len(self.table.records) / 100.0)
-            self.out.append(Exchange((message.me.host, message.me.port)))
+            self.next_exchange = now + EXCHANGE_INTERVAL_S * (1.0 + len(self.table.records) / 100.0)
+            self.outputs.append(Exchange((message.me.host, message.me.port)))
 
-    # Joining, and those that are gone
+    # Joining, and probes of gone members
 
     def look_for_seeds(self, now: float) -> None:
         if now >= self.next_seed:
             known = {(r.row.host, r.row.port) for r in self.table.others()}
             missing = [seed for seed in self.seeds if seed not in known]
-            rest = SEEDS_S if not known or not self.table.settled else MISSING_S
-            self.next_seed = now + rest * self.chance.uniform(0.8, 1.2)
-            for to in missing if not known else self.chance.sample(missing, min(1, len(missing))):
-                self.out.append(Send(to, self.laden(Ping(self.table.own, self.number(), self.table.digest))))
+            rest = SEED_RETRY_S if not known or not self.table.settled else MISSING_SEED_RETRY_S
+            self.next_seed = now + rest * self.rng.uniform(0.8, 1.2)
+            for to in missing if not known else self.rng.sample(missing, min(1, len(missing))):
+                self.outputs.append(
+                    Send(to, self.add_news(Ping(self.table.own, self.number(), self.table.digest)))
+                )
 
     def look_for_gone(self, now: float) -> None:
-        """Those that are gone are tried, ever more rarely: a part that was cut off is met again by that."""
+        """Probe gone members with increasing intervals, so that a healed partition is found."""
         for name, (at, rest) in list(self.gone_tries.items()):
             record = self.table.records.get(name)
             if record is None or record.state != State.GONE:
                 del self.gone_tries[name]
             elif now >= at:
-                rest = min(2.0 * rest, GONE_MOST_S)
-                self.gone_tries[name] = (now + rest * self.chance.uniform(0.5, 1.0), rest)
-                self.start(now, record.row)
+                rest = min(2.0 * rest, MAX_GONE_RETRY_S)
+                self.gone_tries[name] = (now + rest * self.rng.uniform(0.5, 1.0), rest)
+                self.start_probe(now, record.row)
                 return
 
     # Sending
@@ -570,20 +572,20 @@
         self.send(known.row if known is not None and known.row.process == to.process else to, message)
 
     def send(self, to: Row, message: Message) -> None:
-        self.out.append(Send((to.host, to.port), self.laden(message, to.name), to.process))
+        self.outputs.append(Send((to.host, to.port), self.add_news(message, to.name), to.process))
 
     def spread(self, record: Record) -> None:
         self.rumours.add(("row", record.row.name), self.table.gossip_row(record))
 
-    def laden(self, message: Message, to: str = "") -> Message:
-        """With what was passed on least, and with how the receiver itself is held where that is ill of it."""
-        most = math.ceil(RUMOURS * math.log2(len(self.table.records) + 2))
+    def add_news(self, message: Message, to: str = "") -> Message:
+        """Add the least-sent updates, and the receiver's row unless ALIVE here, so that it can refute."""
+        most = math.ceil(GOSSIP_FACTOR * math.log2(len(self.table.records) + 2))
         rows: list[Row] = []
         vouches: list[Vouch] = []
         held = self.table.records.get(to)
         if held is not None and (held.state != State.ALIVE or message.me.name == to):
             rows.append(self.table.gossip_row(held))
-        for item in self.rumours.take(min(NEWS - len(rows), int(self.room)), most):
+        for item in self.rumours.take(min(MAX_NEWS_ROWS - len(rows), int(self.room)), most):
             self.room -= 1.0
             if isinstance(item, Row):
                 rows.append(item)
@@ -592,5 +594,5 @@
         return replace(message, news=tuple(rows), vouches=tuple(vouches))
 
     def taken(self) -> list[Output]:
-        out, self.out = self.out, []
+        out, self.outputs = self.outputs, []
         return out
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,7 +15,7 @@
 from lab.membership_explorer import met
 from lab.membership_rules import check, t2_s
 from rushhitch.membership.bounds import Lease
-from rushhitch.membership.detector import LATE_S, MOST_ILL, Detector, Tuning
+from rushhitch.membership.detector import LATE_ANSWER_S, MAX_ILL, Detector, Tuning
 from rushhitch.membership.messages import Ack, Ask, Exchange, Ping, Relayed, Row, Send, Warn
 from rushhitch.membership.table import Merged, Table
 from rushhitch.membership.view import State
@@ -229,7 +229,7 @@
     for n in range(50):
         other.tick(0.2 + n / 10.0)
     assert ping.seq not in other.probes, "and not at all after so long"
-    other.receive(0.2 + LATE_S + 2.0, Ack(row("b"), ping.seq, 0))
+    other.receive(0.2 + LATE_ANSWER_S + 2.0, Ack(row("b"), ping.seq, 0))
     assert other.table.records["b"].answered_at == float("-inf")
 
 
@@ -274,7 +274,7 @@
     detector = member()
     for _ in range(20):
         detector.failing()
-    assert detector.ill == MOST_ILL
+    assert detector.ill == MAX_ILL
     slow, quick = (d.lasts(d.table.records["b"]) for d in (detector, member()))
     assert slow == pytest.approx(3.0 * quick)
 
@@ -324,10 +324,10 @@
     rows_out = [len(s.message.news) for n in range(100) for s in sends(detector.tick(n / 10.0))]
     assert max(rows_out) <= 9 and sum(rows_out) <= 64 + 16 * 10 + 20
     for n in range(200):
-        detector.hear(10.0, row(f"m{n}", 6))
+        detector.hear_row(10.0, row(f"m{n}", 6))
     for n in range(50):
         detector.tick(10.0 + n / 10.0)
-    detector.hear(16.0, row("m250", 7, GONE))
+    detector.hear_row(16.0, row("m250", 7, GONE))
     news = [item.name for s in sends(detector.tick(16.5)) for item in s.message.news]
     assert "m250" in news
 
