--- a/rushhitch/membership/wire.py
+++ b/rushhitch/membership/wire.py
@@ -1,14 +1,14 @@
-"""The wire between members, version 1. Bytes in, messages out; no I/O and no clock.
+"""Wire protocol between members, version 1. No I/O, no clock.
 
     datagram   magic "RM", version u8, kind u8, sender u64, receiver u64, number u64, payload, MAC 16 bytes
     stream     magic "RMX", version u8, role u8, process u64, nonce 16 bytes, from both sides; then frames of
                length u32, payload, MAC 32 bytes over both hellos, the sender's side and the payload
 
-`sender` and `receiver` are numbers that processes draw at their start. A datagram counts for the very process
-that it names, and once: so what was recorded before a restart, on either side, is nothing after it, with no
-disk. Who does not know the receiver's number yet asks for it (WHO); the answer (HERE) names the asker's
-process and its number. The MAC is HMAC-SHA256 of a key drawn from the shared secret, cut to 16 bytes in
-datagrams.
+`sender` and `receiver` are random numbers that processes draw at their start. A datagram is accepted once and
+only by the process that it names. This rejects replays across a restart of either side without stored state.
+A sender that does not know the receiver's process asks for it (WHO); the answer (HERE) names the asker's
+process and repeats its number. MACs are HMAC-SHA256 with a key derived from the shared secret, cut to 16
+bytes in datagrams.
 """
 
 from __future__ import annotations
@@ -26,30 +26,30 @@
 
 MAGIC, VERSION = b"RM", 1
 HEAD = struct.Struct(">2sBBQQQ")
-MAC = 16
-MOST_DATAGRAM = 1_400  # bytes: below any path's limit; what is longer is dropped unread
-MOST_SENDERS = 8_192  # processes whose numbers are remembered
-WINDOW = 256  # numbers below the highest that may still come, out of order
-MOST_WAITING = 4  # messages kept for an address until its process is known
-MOST_ASKED = 256  # addresses
+MAC_SIZE = 16
+MAX_DATAGRAM_BYTES = 1_400  # fits any path's MTU; longer datagrams are dropped unread
+MAX_SENDERS = 8_192  # processes whose numbers or addresses are remembered
+WINDOW = 256  # replay window: numbers accepted out of order below the highest
+MAX_QUEUED = 4  # messages queued per address until its process is known
+MAX_QUEUED_ADDRESSES = 256
 STREAM_MAGIC = b"RMX"
 HELLO = struct.Struct(">3sBBQ16s")
 LENGTH = struct.Struct(">I")
-MOST_FRAME = 1_048_576  # bytes: some 10,000 rows
-STREAM_MAC = 32
+MAX_FRAME_BYTES = 1_048_576  # about 10,000 rows
+STREAM_MAC_SIZE = 32
 
 
 class Kind(enum.IntEnum):
-    """What a datagram is."""
+    """Type of a datagram."""
 
     DATA = 1
     WHO = 2
     HERE = 3
-    SHARED = 4  # what users of the membership tell each other: `rushhitch.sharing`
+    SHARED = 4  # payloads of users of the membership: `rushhitch.sharing`
 
 
 class Role(enum.IntEnum):
-    """What a stream is for."""
+    """Purpose of a stream."""
 
     MEMBER = 1
     SHOW = 2
@@ -57,11 +57,11 @@
 
 
 class WireError(ValueError):
-    """What came cannot be read, or is not allowed; the text says why."""
+    """Malformed or forbidden input; the text says why."""
 
 
-class Bad(enum.Enum):
-    """Why a datagram was dropped."""
+class DropReason(enum.Enum):
+    """Why a datagram was dropped; names and values are logged."""
 
     FORM = "it cannot be read"
     VERSION = "another version of the wire"
@@ -88,7 +88,7 @@
 
 
 class _Message(msgspec.Struct, array_like=True):
-    """`what` is the message's place in `KINDS`; further fields of a later build are left out."""
+    """`what` is the index in `KINDS`. Additional fields of later versions are ignored."""
 
     what: int
     me: _Row
@@ -107,8 +107,8 @@
 
 
 def encode(message: Message) -> bytes:
-    """A message's payload."""
-    told: list[Any] = [
+    """Encode a message as a datagram's payload."""
+    fields: list[Any] = [
         KINDS.index(type(message)),
         message.me,
         message.seq,
@@ -117,46 +117,46 @@
         message.vouches,
     ]
     if isinstance(message, Ask):
-        told.append(message.target)
+        fields.append(message.target)
     elif isinstance(message, Relayed):
-        told += [None, message.answered]
-    return _encode(told)
+        fields += [None, message.answered]
+    return _encode(fields)
 
 
-def row_of(told: _Row) -> Row:
+def to_row(raw: _Row) -> Row:
     row = Row(
-        told.name,
-        told.host,
-        told.port,
-        told.building,
-        told.incarnation,
-        told.process,
-        told.state,
-        tuple(told.by),
+        raw.name,
+        raw.host,
+        raw.port,
+        raw.building,
+        raw.incarnation,
+        raw.process,
+        raw.state,
+        tuple(raw.by),
     )
     if not row.is_valid():
-        raise WireError(f"a row that no member tells: {row!r}")
+        raise WireError(f"invalid row: {row!r}")
     return row
 
 
 def decode(data: bytes) -> Message:
-    """Raises a `WireError` where it is none."""
+    """Decode a payload. Raises `WireError` if it is no valid message."""
     try:
-        told = _read_message(data)
+        raw = _read_message(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise WireError(f"not a message: {error}") from None
-    if not 0 <= told.what < len(KINDS):
-        raise WireError(f"a message of unknown kind {told.what}")
-    news = tuple(row_of(row) for row in told.news)
-    vouches = tuple(Vouch(v.name, v.incarnation, v.by, v.number) for v in told.vouches)
-    head = (row_of(told.me), told.seq, told.digest)
-    kind = KINDS[told.what]
+        raise WireError(f"malformed message: {error}") from None
+    if not 0 <= raw.what < len(KINDS):
+        raise WireError(f"unknown kind of message: {raw.what}")
+    news = tuple(to_row(row) for row in raw.news)
+    vouches = tuple(Vouch(v.name, v.incarnation, v.by, v.number) for v in raw.vouches)
+    head = (to_row(raw.me), raw.seq, raw.digest)
+    kind = KINDS[raw.what]
     if kind is Ask:
-        if told.target is None:
-            raise WireError("a question on behalf of another names nobody")
-        return Ask(*head, news, vouches, target=row_of(told.target))
+        if raw.target is None:
+            raise WireError("indirect probe without a target")
+        return Ask(*head, news, vouches, target=to_row(raw.target))
     if kind is Relayed:
-        return Relayed(*head, news, vouches, answered=told.answered)
+        return Relayed(*head, news, vouches, answered=raw.answered)
     return kind(*head, news, vouches)
 
 
@@ -165,14 +165,14 @@
 
 
 def decode_rows(data: bytes) -> list[Row]:
-    """Raises a `WireError` where it is no list of rows."""
+    """Decode the rows of an exchange. Raises `WireError` if they are malformed."""
     try:
-        return [row_of(row) for row in _read_rows(data)]
+        return [to_row(row) for row in _read_rows(data)]
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise WireError(f"not rows: {error}") from None
+        raise WireError(f"malformed rows: {error}") from None
 
 
-def key_of(secret: bytes) -> bytes:
+def derive_key(secret: bytes) -> bytes:
     return hmac.digest(secret, b"rushhitch membership 1", "sha256")
 
 
@@ -185,14 +185,14 @@
 
 
 @dataclass(slots=True)
-class Numbers:
-    """Which of a sender's numbers have come."""
+class ReplayWindow:
+    """Replay window: which of a sender's numbers were received."""
 
     highest: int = 0
-    seen: int = 0  # a bit for each of the last `WINDOW`
+    seen: int = 0  # bitmap of the last `WINDOW` numbers, lowest bit for `highest`
 
     def fresh(self, number: int) -> bool:
-        """Whether it has not come yet; it has, from now on."""
+        """Mark a number as received; False if it was before, or is below the window."""
         if number > self.highest:
             shift = number - self.highest
             self.seen = ((self.seen << shift) | 1) & ((1 << WINDOW) - 1) if shift < WINDOW else 1
@@ -206,124 +206,126 @@
 
 
 class Sessions:
-    """Seals what goes out and opens what comes in, for one process."""
+    """Authenticates and opens the datagrams of one process."""
 
     def __init__(self, process: int, secret: bytes) -> None:
-        self.process, self.key = process, key_of(secret)
+        self.process, self.key = process, derive_key(secret)
         self.number = 0
-        self.there: OrderedDict[tuple[str, int], int] = OrderedDict()  # the process at an address
-        self.waiting: OrderedDict[tuple[str, int], list[bytes]] = OrderedDict()
-        self.senders: OrderedDict[int, Numbers] = OrderedDict()
-        self.bad = dict.fromkeys(Bad, 0)
+        self.processes: OrderedDict[tuple[str, int], int] = OrderedDict()  # address -> process
+        self.queued: OrderedDict[tuple[str, int], list[bytes]] = OrderedDict()
+        self.senders: OrderedDict[int, ReplayWindow] = OrderedDict()
+        self.drops = dict.fromkeys(DropReason, 0)
 
     def datagram(self, kind: Kind, receiver: int, payload: bytes = b"", number: int | None = None) -> bytes:
         if number is None:
             self.number += 1
             number = self.number
         head = HEAD.pack(MAGIC, VERSION, kind, self.process, receiver, number)
-        return head + payload + hmac.digest(self.key, head + payload, "sha256")[:MAC]
+        return head + payload + hmac.digest(self.key, head + payload, "sha256")[:MAC_SIZE]
 
     def seal(self, send: Send) -> bytes:
-        """The datagram to send there: the message, or first the question who is there."""
+        """The datagram to send: the message, or a WHO while the receiver's process is unknown."""
         payload = encode(send.message)
-        if (receiver := self.there.get(send.to)) is None and send.process:
+        if (receiver := self.processes.get(send.to)) is None and send.process:
             receiver = self.learn(send.to, send.process)
         if receiver is not None:
             return self.datagram(Kind.DATA, receiver, payload)
-        waiting = self.waiting.setdefault(send.to, [])
-        waiting.append(payload)
-        del waiting[:-MOST_WAITING]
-        while len(self.waiting) > MOST_ASKED:
-            self.waiting.popitem(last=False)
+        queued = self.queued.setdefault(send.to, [])
+        queued.append(payload)
+        del queued[:-MAX_QUEUED]
+        while len(self.queued) > MAX_QUEUED_ADDRESSES:
+            self.queued.popitem(last=False)
         return self.datagram(Kind.WHO, 0)
 
     def learn(self, address: tuple[str, int], process: int) -> int:
-        self.there[address] = process
-        self.there.move_to_end(address)
-        if len(self.there) > MOST_SENDERS:
-            self.there.popitem(last=False)
+        self.processes[address] = process
+        self.processes.move_to_end(address)
+        if len(self.processes) > MAX_SENDERS:
+            self.processes.popitem(last=False)
         return process
 
     def open(self, data: bytes, source: tuple[str, int]) -> tuple[Message | Carried | None, list[bytes]]:
-        """The message that came, if one did, and what to send back to the source. Nothing is raised: what
-        makes no sense is counted in `bad`."""
-        if not HEAD.size + MAC <= len(data) <= MOST_DATAGRAM:
-            return self.drop(Bad.FORM)
+        """Return the message or payload received, if any, and datagrams to send back to `source`. Does not
+        raise: dropped datagrams are counted in `drops`."""
+        if not HEAD.size + MAC_SIZE <= len(data) <= MAX_DATAGRAM_BYTES:
+            return self.drop(DropReason.FORM)
         magic, version, kind, sender, receiver, number = HEAD.unpack_from(data)
         if magic != MAGIC:
-            return self.drop(Bad.FORM)
+            return self.drop(DropReason.FORM)
         if version != VERSION:
-            return self.drop(Bad.VERSION)
+            return self.drop(DropReason.VERSION)
         if receiver != self.process and kind in (Kind.HERE, Kind.SHARED):
-            return self.drop(Bad.OLD)  # before the costly check: nobody outside knows the process's number
-        if not hmac.compare_digest(data[-MAC:], hmac.digest(self.key, data[:-MAC], "sha256")[:MAC]):
-            return self.drop(Bad.SECRET)
+            return self.drop(DropReason.OLD)  # cheaper than the MAC; outsiders do not know the number
+        if not hmac.compare_digest(
+            data[-MAC_SIZE:], hmac.digest(self.key, data[:-MAC_SIZE], "sha256")[:MAC_SIZE]
+        ):
+            return self.drop(DropReason.SECRET)
         if kind == Kind.WHO or (kind == Kind.DATA and receiver != self.process):
             if kind == Kind.DATA:
-                self.bad[Bad.OLD] += 1
+                self.drops[DropReason.OLD] += 1
             return None, [self.datagram(Kind.HERE, sender, number=number)]
         if kind == Kind.HERE:
             return self.here(source, sender, number)
         if kind not in (Kind.DATA, Kind.SHARED):
-            return self.drop(Bad.FORM)
+            return self.drop(DropReason.FORM)
         if not self.fresh(sender, number):
-            return self.drop(Bad.OLD)
+            return self.drop(DropReason.OLD)
         if kind == Kind.SHARED:
-            return Carried(sender, data[HEAD.size : -MAC]), []
+            return Carried(sender, data[HEAD.size : -MAC_SIZE]), []
         try:
-            message = decode(data[HEAD.size : -MAC])
+            message = decode(data[HEAD.size : -MAC_SIZE])
         except WireError:
-            return self.drop(Bad.FORM)
+            return self.drop(DropReason.FORM)
         self.learn((message.me.host, message.me.port), sender)
         return message, []
 
     def here(self, source: tuple[str, int], sender: int, number: int) -> tuple[None, list[bytes]]:
-        """A process tells its number, in answer to what this one sent."""
+        """Handle HERE, the answer to a recent datagram: learn the process and send queued messages."""
         if not 0 < self.number - number + 1 <= WINDOW:
-            return self.drop(Bad.OLD)
+            return self.drop(DropReason.OLD)
         self.learn(source, sender)
-        return None, [self.datagram(Kind.DATA, sender, payload) for payload in self.waiting.pop(source, ())]
+        return None, [self.datagram(Kind.DATA, sender, payload) for payload in self.queued.pop(source, ())]
 
     def fresh(self, sender: int, number: int) -> bool:
         numbers = self.senders.get(sender)
         if numbers is None:
-            numbers = self.senders[sender] = Numbers()
-            if len(self.senders) > MOST_SENDERS:
+            numbers = self.senders[sender] = ReplayWindow()
+            if len(self.senders) > MAX_SENDERS:
                 self.senders.popitem(last=False)
         self.senders.move_to_end(sender)
         return numbers.fresh(number)
 
-    def drop(self, why: Bad) -> tuple[None, list[bytes]]:
-        self.bad[why] += 1
+    def drop(self, why: DropReason) -> tuple[None, list[bytes]]:
+        self.drops[why] += 1
         return None, []
 
 
 class Stream:
-    """One side of a stream: `greeting` first, then `send` frames; feed it bytes, take payloads out."""
+    """One side of a stream: send `greeting`, then `sealed` frames; pass received bytes to `receive`."""
 
     def __init__(self, role: Role, process: int, secret: bytes, nonce: bytes, calls: bool) -> None:
-        self.key, self.calls = key_of(secret), calls
+        self.key, self.calls = derive_key(secret), calls
         self.greeting = HELLO.pack(STREAM_MAGIC, VERSION, role, process, nonce)
-        self.theirs = b""
+        self.peer_hello = b""
         self.role = role
         self.buffer = bytearray()
 
     def sealed(self, payload: bytes) -> bytes:
-        """A frame, once the other side's hello has come."""
-        if not self.theirs:
-            raise WireError("a frame before the hello")
-        if len(payload) > MOST_FRAME:
-            raise WireError(f"a frame of {len(payload)} bytes, more than {MOST_FRAME}")
+        """Encode a frame. Raises `WireError` before the peer's hello was received, or if it is too long."""
+        if not self.peer_hello:
+            raise WireError("frame before the hello")
+        if len(payload) > MAX_FRAME_BYTES:
+            raise WireError(f"a frame of {len(payload)} bytes, more than {MAX_FRAME_BYTES}")
         return LENGTH.pack(len(payload)) + payload + self.mac(payload, self.calls)
 
     def mac(self, payload: bytes, by_caller: bool) -> bytes:
-        hellos = self.greeting + self.theirs if self.calls else self.theirs + self.greeting
+        hellos = self.greeting + self.peer_hello if self.calls else self.peer_hello + self.greeting
         return hmac.digest(self.key, (b"c" if by_caller else b"s") + hellos + payload, "sha256")
 
     def receive(self, data: bytes) -> bytes | None:
-        """The frame that has come whole, if one has. A `WireError` ends the stream."""
+        """Return the payload of the next complete frame, if any. After a `WireError` close the stream."""
         self.buffer += data
-        if not self.theirs:
+        if not self.peer_hello:
             if len(self.buffer) < HELLO.size:
                 return None
             self.read_hello(bytes(self.buffer[: HELLO.size]))
@@ -331,14 +333,14 @@
         if len(self.buffer) < LENGTH.size:
             return None
         (length,) = LENGTH.unpack_from(self.buffer)
-        if length > MOST_FRAME:
-            raise WireError(f"a frame of {length} bytes, more than {MOST_FRAME}")
+        if length > MAX_FRAME_BYTES:
+            raise WireError(f"a frame of {length} bytes, more than {MAX_FRAME_BYTES}")
         end = LENGTH.size + length
-        if len(self.buffer) < end + STREAM_MAC:
+        if len(self.buffer) < end + STREAM_MAC_SIZE:
             return None
-        payload, told = bytes(self.buffer[LENGTH.size : end]), bytes(self.buffer[end : end + STREAM_MAC])
-        del self.buffer[: end + STREAM_MAC]
-        if not hmac.compare_digest(told, self.mac(payload, not self.calls)):
+        payload, mac = bytes(self.buffer[LENGTH.size : end]), bytes(self.buffer[end : end + STREAM_MAC_SIZE])
+        del self.buffer[: end + STREAM_MAC_SIZE]
+        if not hmac.compare_digest(mac, self.mac(payload, not self.calls)):
             raise WireError("the shared secrets differ: give [membership] secret_file the same content")
         return payload
 
@@ -351,5 +353,5 @@
         try:
             self.role = Role(role)
         except ValueError:
-            raise WireError(f"a stream of unknown role {role}") from None
-        self.theirs = hello
+            raise WireError(f"unknown stream role {role}") from None
+        self.peer_hello = hello
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -432,7 +432,7 @@
     from rushhitch.sharing import server
 
     node.limits.counts = LaneCounts([cls.worth for cls in configuration.settings.classes])
-    name, fleet = member.told.name, member.detector.table.fleet
+    name, fleet = member.settings.name, member.detector.table.fleet
     sharing = server.Sharing(name, fleet, settings.floor, member, node.limits.needs)
     node.limits.shared = sharing.part
     return sharing
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -14,7 +14,7 @@
 from lab.member_cases import cut, healed
 from lab.member_ways import SECRET, WayFault
 from rushhitch.membership.kept import FILE, IncarnationFile
-from rushhitch.membership.server import MOST_STREAMS
+from rushhitch.membership.server import MAX_STREAMS
 from rushhitch.membership.show import fetch
 
 
@@ -210,7 +210,7 @@
     @with_fleet(tmp_path, size=2)
     async def _(fleet):
         with contextlib.ExitStack() as held:
-            for _ in range(3 * MOST_STREAMS):
+            for _ in range(3 * MAX_STREAMS):
                 held.enter_context(socket.create_connection(fleet.ways.real["d0"]))
             for _ in range(5):
                 told = await asyncio.wait_for(fetch(fleet.ways.real["d0"], SECRET), 2.0)
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -15,13 +15,13 @@
 from rushhitch.membership.server import Server
 from rushhitch.membership.wire import (
     HEAD,
-    MOST_DATAGRAM,
-    MOST_FRAME,
-    MOST_WAITING,
+    MAX_DATAGRAM_BYTES,
+    MAX_FRAME_BYTES,
+    MAX_QUEUED,
     WINDOW,
-    Bad,
+    DropReason,
     Kind,
-    Numbers,
+    ReplayWindow,
     Role,
     Sessions,
     Stream,
@@ -80,14 +80,14 @@
     assert b.open(a.seal(Send(B, MESSAGES[2])), A)[0] == MESSAGES[2], "and is known from then on"
     for _ in range(50):
         a.seal(Send(("127.0.0.1", 9), MESSAGES[0]))
-    assert len(a.waiting["127.0.0.1", 9]) == MOST_WAITING
+    assert len(a.queued["127.0.0.1", 9]) == MAX_QUEUED
 
 
 def test_what_was_recorded_is_nothing_when_it_comes_again_also_after_a_restart_of_either():
     a, b = met()
     recorded = [a.seal(Send(B, message)) for message in MESSAGES]
     assert [b.open(data, A)[0] for data in recorded] == MESSAGES
-    assert [b.open(data, A)[0] for data in recorded] == [None] * 5 and b.bad[Bad.OLD] == 5
+    assert [b.open(data, A)[0] for data in recorded] == [None] * 5 and b.drops[DropReason.OLD] == 5
     anew = Sessions(33, SECRET)  # the receiver, started anew: its window is empty
     for data in recorded:
         message, back = anew.open(data, A)
@@ -110,22 +110,22 @@
     stranger = Sessions(11, b"the secret of another fleet")
     stranger.learn(B, 22)
     bad = {
-        "another secret": (stranger.seal(Send(B, MESSAGES[1])), Bad.SECRET),
-        "cut off": (good[:-1], Bad.SECRET),
-        "cut short": (good[:20], Bad.FORM),
-        "a bit turned": (good[:40] + bytes([good[40] ^ 1]) + good[41:], Bad.SECRET),
-        "oversized": (good + bytes(65_000), Bad.FORM),
-        "just too long": (good + bytes(MOST_DATAGRAM), Bad.FORM),
-        "another version": (good[:2] + b"\x09" + good[3:], Bad.VERSION),
-        "other magic": (b"XX" + good[2:], Bad.FORM),
-        "empty": (b"", Bad.FORM),
-        "an answer to nothing": (a.datagram(Kind.HERE, 22, number=10**6), Bad.OLD),
-        "unknown kind": (a.datagram(Kind(1), 22).replace(b"RM\x01\x01", b"RM\x01\x07"), Bad.SECRET),
+        "another secret": (stranger.seal(Send(B, MESSAGES[1])), DropReason.SECRET),
+        "cut off": (good[:-1], DropReason.SECRET),
+        "cut short": (good[:20], DropReason.FORM),
+        "a bit turned": (good[:40] + bytes([good[40] ^ 1]) + good[41:], DropReason.SECRET),
+        "oversized": (good + bytes(65_000), DropReason.FORM),
+        "just too long": (good + bytes(MAX_DATAGRAM_BYTES), DropReason.FORM),
+        "another version": (good[:2] + b"\x09" + good[3:], DropReason.VERSION),
+        "other magic": (b"XX" + good[2:], DropReason.FORM),
+        "empty": (b"", DropReason.FORM),
+        "an answer to nothing": (a.datagram(Kind.HERE, 22, number=10**6), DropReason.OLD),
+        "unknown kind": (a.datagram(Kind(1), 22).replace(b"RM\x01\x01", b"RM\x01\x07"), DropReason.SECRET),
     }
     for name, (data, why) in bad.items():
-        before = b.bad[why]
+        before = b.drops[why]
         assert b.open(data, A) == (None, []), name
-        assert b.bad[why] == before + 1, name
+        assert b.drops[why] == before + 1, name
     assert b.open(good, A)[0] == MESSAGES[1]
 
 
@@ -139,7 +139,7 @@
     ]
     for message in wrong:
         assert b.open(a.datagram(Kind.DATA, 22, encode(message)), A) == (None, [])
-    assert b.bad[Bad.FORM] == len(wrong)
+    assert b.drops[DropReason.FORM] == len(wrong)
 
 
 @given(st.binary(max_size=200))
@@ -156,7 +156,7 @@
 
 @given(st.lists(st.integers(1, 600), max_size=300))
 def test_each_number_counts_once_in_any_order(numbers):
-    window, taken, highest = Numbers(), set(), 0
+    window, taken, highest = ReplayWindow(), set(), 0
     for number in numbers:
         fresh = window.fresh(number)
         assert fresh == (number not in taken and number > highest - WINDOW)
@@ -202,7 +202,7 @@
         caller.receive(caller.sealed(b"x"))  # its own frame, sent back
     caller, server = streams()
     with pytest.raises(WireError, match="a frame of"):
-        server.receive(struct.pack(">I", MOST_FRAME + 1))
+        server.receive(struct.pack(">I", MAX_FRAME_BYTES + 1))
     with pytest.raises(WireError, match="the magic is wrong"):
         web = Stream(Role.MEMBER, 22, SECRET, b"s" * 16, calls=False)
         web.receive(b"GET / HTTP/1.1\r\nHost: somewhere\r\n\r\n")
@@ -228,10 +228,10 @@
     async def work():
         address = ("127.0.0.1", 7101)
         server = Server(MembershipSettings("a", address, address, (), SECRET), 3)
-        begun = server.bad_told_at
+        begun = server.drops_logged_at
         for tenth in range(151):
             server.sessions.open(bytes(80), address)
-            server.tell_bad(begun + tenth / 10.0)
+            server.log_drops(begun + tenth / 10.0)
 
     asyncio.run(work())
     (line,) = [record.getMessage() for record in caplog.records if "dropped" in record.getMessage()]
