--- a/rushhitch/core/limits.py
+++ b/rushhitch/core/limits.py
@@ -78,7 +78,7 @@
         per_s, burst = allowance.per_s, max(allowance.burst, 1.0)
         if stated < per_s:
             per_s, burst, slots = stated, 1.0, (0.0, 0, ())
-        validity = (allowance.for_ms, allowance.wait_ms, allowance.handicap)
+        validity = (allowance.for_ms, allowance.wait_ms, allowance.score_penalty)
         self.note(api.SendAllowance(lane, per_s, burst, *validity, *slots))
 
     def set_stated_limits(self, rates: Mapping[int | str, float]) -> None:
--- a/rushhitch/planning/guidance.py
+++ b/rushhitch/planning/guidance.py
@@ -31,7 +31,7 @@
     burst: float
     for_ms: float
     wait_ms: float = 0.0
-    handicap: float = 0.0
+    score_penalty: float = 0.0
     slots_ms: float = 0.0  # so long the moments of its calls are told, and they go by these
     slot: int = 0  # the number of the first
     slots: tuple[float, ...] = ()  # milliseconds from now
@@ -54,16 +54,16 @@
         if lapsed < 0:
             return grant.per_s
         if lapsed < grant.safe_ms:
-            return grant.safe
+            return grant.safe_per_s
         grown = math.exp(min(GROW_PER_S * (lapsed - grant.safe_ms) / 1000.0, 50.0))
-        return math.inf if grown >= GROW_MOST else max(grant.safe, 1e-3) * grown
+        return math.inf if grown >= GROW_MOST else max(grant.safe_per_s, 1e-3) * grown
 
     def live(self, now: float) -> bool:
         return now - self.asked_at < self.grant.lease_ms
 
-    def freed(self, now: float) -> bool:
+    def expired(self, now: float) -> bool:
         """Whether no planner reckons with it any more."""
-        return not self.grant.counts or now - self.asked_at >= self.grant.lease_ms + self.grant.safe_ms
+        return not self.grant.is_grant or now - self.asked_at >= self.grant.lease_ms + self.grant.safe_ms
 
 
 @dataclass(slots=True)
@@ -130,7 +130,7 @@
         """Of that, what a planner reckons with: 0 past the safe time, when the bound goes its own way."""
         lane = self.lanes.get(name)
         newest = lane.newest() if lane else None
-        if newest is None or newest.freed(now):
+        if newest is None or newest.expired(now):
             return 0.0
         return self.bound(now, name)
 
@@ -144,13 +144,13 @@
             bound = self.bound(now, name)
             wait = max(self.waits.pop(name, 0.0) - now, 0.0)
             newest = lane.newest()
-            handicap = newest.grant.handicap if newest and newest.live(now) else 0.0
+            penalty = newest.grant.score_penalty if newest and newest.live(now) else 0.0
             burst = newest.grant.burst if newest and newest.grant.burst > 0 else 1.0
             told = lane.told
-            moved = told is None or not alike(told.per_s, bound) or told.handicap != handicap
-            due = now - lane.told_at >= TELL_MS / 2.0 and (bound < math.inf or handicap)
-            if (moved and (told is not None or bound < math.inf or handicap)) or due or wait or lane.fresh:
-                allowance = Allowance(name, bound, burst, TELL_MS, wait, handicap, *self.slots(now, name))
+            moved = told is None or not alike(told.per_s, bound) or told.score_penalty != penalty
+            due = now - lane.told_at >= TELL_MS / 2.0 and (bound < math.inf or penalty)
+            if (moved and (told is not None or bound < math.inf or penalty)) or due or wait or lane.fresh:
+                allowance = Allowance(name, bound, burst, TELL_MS, wait, penalty, *self.slots(now, name))
                 lane.told, lane.told_at, lane.fresh = allowance, now, False
                 found.append(allowance)
             if not lane.held and (told is None or told.per_s == math.inf):
@@ -168,12 +168,12 @@
         grant, bound = newest.grant, newest.bound(now)
         if bound == math.inf:  # nothing binds, or not any more
             bound = 0.0
-        return bound, newest.planner, grant.term, grant.seq, grant.limit, newest.freed(now)
+        return bound, newest.planner, grant.term, grant.seq, grant.limit, newest.expired(now)
 
     def fill(self, now: float, row: LaneReport) -> None:
         """Put what it holds on the row's lane into the row."""
         held = self.holding(now, row.lane)
-        row.holding, row.planner, row.term, row.seq, row.limit, row.freed = held
+        row.holding, row.planner, row.term, row.seq, row.limit, row.expired = held
 
 
 def alike(one: float, other: float) -> bool:
--- a/rushhitch/planning/messages.py
+++ b/rushhitch/planning/messages.py
@@ -1,7 +1,7 @@
-"""What forwarders and planners tell each other. Rates are calls a second, times milliseconds.
+"""Messages between forwarders and planners. Rates are in calls per second, times in milliseconds.
 
-A lane is what shares a limit: a destination, or one route of it where routes are apart. Times are durations
-by the clock of whoever counts them; no clock of one side means anything to the other.
+A lane is the unit that has a limit: a destination, or one of its routes if routes have separate limits. Times
+are durations on the clock of whoever measures them, so the clocks of both sides need not agree.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 
 @dataclass(slots=True)
 class LaneReport:
-    """One lane as a forwarder saw it since its report before."""
+    """What a forwarder observed on one lane since its previous report."""
 
     lane: str
-    group: str = ""  # the destination: lanes of one are routes apart to the same partner
-    demand: float = 0.0  # calls a second that it would send if nothing held it back
-    worth: float = 1.0  # of an average message that is held, over that of the cheapest class
-    sent: float = 0.0  # calls; a message of a batch is its part of one
+    group: str = ""  # the destination; lanes of one group are separate routes to the same partner
+    demand: float = 0.0  # calls per second that the forwarder would send without any limit
+    worth: float = 1.0  # average worth of the held messages relative to the cheapest class
+    sent: float = 0.0  # calls; a message of a batch counts as a fraction of a call
     taken: float = 0.0
     refused: float = 0.0
-    wait_ms: float = 0.0  # of a told wait that is left
-    cold: bool = False  # in an outage, or back from one and not warm
-    holding: float = 0.0  # the rate of the grant that it goes by; 0 if it has none
-    planner: str = ""  # whose
+    wait_ms: float = 0.0  # remaining part of a wait requested by the partner
+    cold: bool = False  # in an outage, or recovering from one and not yet warm
+    holding: float = 0.0  # rate of the grant in use; 0 if there is none
+    planner: str = ""  # that issued the grant in use
     term: int = 0
     seq: int = 0
-    limit: float = 0.0  # what that grant said the lane's limit is; 0 where it said nothing
-    freed: bool = False  # that grant has lapsed with its safe time: no planner reckons with `holding`
+    limit: float = 0.0  # the lane's limit according to that grant; 0 if unknown
+    expired: bool = False  # lease and safe period are over: no planner accounts for `holding`
 
-    def sound(self) -> bool:
-        """Whether its figures are ones that a forwarder can have seen; a planner leaves it out otherwise."""
+    def is_valid(self) -> bool:
+        """Whether all values are in their possible ranges; the planner ignores the row otherwise."""
         counts = (self.term, self.seq)
         rates = (
             self.demand,
@@ -44,54 +44,54 @@
             self.limit,
         )
         return (
-            0 < len(self.lane) <= MOST_NAME
-            and len(self.group) <= MOST_NAME
-            and all(0 <= count < MOST_COUNT for count in counts)
-            and all(math.isfinite(rate) and 0 <= rate < MOST_RATE for rate in rates)
+            0 < len(self.lane) <= MAX_NAME_LENGTH
+            and len(self.group) <= MAX_NAME_LENGTH
+            and all(0 <= count < MAX_COUNT for count in counts)
+            and all(math.isfinite(rate) and 0 <= rate < MAX_RATE for rate in rates)
         )
 
 
 @dataclass(slots=True)
 class Report:
-    """A forwarder's report to one planner; lanes with nothing to tell are left out."""
+    """A forwarder's report to one planner; idle lanes are omitted."""
 
     forwarder: str
     number: int
-    elapsed_ms: float  # since the report before, by the forwarder's clock
-    heard: list[str] = field(default_factory=list)  # planners that answered it of late
+    elapsed_ms: float  # since the previous report, on the forwarder's clock
+    heard: list[str] = field(default_factory=list)  # planners that answered recently
     lanes: list[LaneReport] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Grant:
-    """What a forwarder may send on a lane from when it asked; past `lease_ms`, `safe` for `safe_ms`."""
+    """A leased rate on a lane: `per_s` for `lease_ms` from the report on, then `safe_per_s` for `safe_ms`."""
 
     lane: str
     per_s: float
     burst: float
     lease_ms: float
-    safe: float
+    safe_per_s: float
     safe_ms: float
     term: int
     seq: int
     wait_ms: float = 0.0
-    handicap: float = 0.0  # of the lane among its group's, as a score
-    limit: float = 0.0  # the lane's, as far as the planner knows
-    slots_ms: float = 0.0  # from when it asked, so long the moments of its calls are told; 0 where none are
-    slot: int = 0  # the number of the first of them: each counts once, however often it is told
-    slots: list[float] = field(default_factory=list)  # from when it asked
-    counts: bool = True  # False: no grant, but what one that has freed itself is to stay at meanwhile
+    score_penalty: float = 0.0  # of the lane among the routes of its group
+    limit: float = 0.0  # the lane's estimated limit; 0 if unknown
+    slots_ms: float = 0.0  # period from the report on that `slots` covers; 0 if calls are not slotted
+    slot: int = 0  # number of the first slot; a repeated number is the same slot
+    slots: list[float] = field(default_factory=list)  # times of calls, from the report on
+    is_grant: bool = True  # False: not leased; the rate at which an expired forwarder stays meanwhile
 
 
 @dataclass(slots=True)
 class Grants:
-    """A planner's answer to the report of that number."""
+    """A planner's answer to the report with the same number."""
 
     planner: str
     number: int
     grants: list[Grant] = field(default_factory=list)
 
 
-MOST_NAME = 200  # characters
-MOST_COUNT = 1 << 40
-MOST_RATE = 1e9
+MAX_NAME_LENGTH = 200  # characters
+MAX_COUNT = 1 << 40
+MAX_RATE = 1e9
--- a/rushhitch/planning/planner.py
+++ b/rushhitch/planning/planner.py
@@ -146,7 +146,7 @@
         answer = Grants(self.name, report.number)
         for told in report.lanes:
             full = told.lane not in self.lanes and len(self.lanes) >= MOST_LANES
-            if full or not told.sound():  # it hurts only the forwarder that tells it
+            if full or not told.is_valid():  # it hurts only the forwarder that tells it
                 self.nonsense += 1
                 continue
             lane = self.learn(now, report.forwarder, told)
@@ -246,14 +246,14 @@
         return min(RETURN_SHARE * self.fall_multiple * warmth, 1.0) * known
 
     def grant(self, now: float, lane: Lane, forwarder: str) -> Grant:
-        share, counts = lane.shares[forwarder], True
+        share, is_grant = lane.shares[forwarder], True
         capacity = self.capacity(now, lane)
         if self.learning(now, lane):
             # Nothing is dealt anew: others may hold grants that this planner has not heard of yet. One that
             # has freed itself gets no grant, but stays where it is until lanes are dealt again.
             per_s = share.report.holding
-            counts = not share.report.freed
-            if not counts:
+            is_grant = not share.report.expired
+            if not is_grant:
                 per_s = min(per_s, capacity)
             elif capacity < math.inf:
                 per_s = min(per_s, self.room(now, lane, forwarder, capacity))
@@ -266,7 +266,7 @@
             slots = self.moments(now, lane, forwarder, capacity, shares)
         self.seq += 1
         bounded = per_s < math.inf
-        if bounded and counts:
+        if bounded and is_grant:
             lease_until = now + LEASE_MS
             before = share.promised(now)
             lane.all_promised(now)
@@ -284,10 +284,10 @@
             lane.term,
             self.seq,
             max(lane.wait_until - now, 0.0),
-            self.handicap(lane, forwarder),
+            self.score_penalty(lane, forwarder),
             lane.limit.per_s if lane.limit.per_s < math.inf else LIMITLESS,
             *slots,
-            counts,
+            is_grant,
         )
 
     def moments(
@@ -333,7 +333,7 @@
             lane.needed = sum(need for need, _ in needs.values()) / max(capacity, 1e-9)
         return shares
 
-    def handicap(self, lane: Lane, forwarder: str) -> float:
+    def score_penalty(self, lane: Lane, forwarder: str) -> float:
         """Each forwarder has a first route of its own among routes apart, by their limits: alike rankings
         would send every sender onto the same next one."""
         routes = self.groups.get(lane.group, ())
--- a/rushhitch/planning/wire.py
+++ b/rushhitch/planning/wire.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from rushhitch.planning.messages import MOST_NAME, Grant, Grants, LaneReport, Report
+from rushhitch.planning.messages import MAX_NAME_LENGTH, Grant, Grants, LaneReport, Report
 
 MAGIC, VERSION = b"RHPL", 1
 FRAME = struct.Struct(">IB")
@@ -94,7 +94,7 @@
 
 
 def decode_report(data: bytes) -> Report:
-    """A report; a `WireError` where it is none. Its figures are checked by `LaneReport.sound`."""
+    """A report; a `WireError` where it is none. Its figures are checked by `LaneReport.is_valid`."""
     try:
         told = _read_report(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -129,8 +129,8 @@
     and `peer` are there once the other side has proved itself, which `ready` says."""
 
     def __init__(self, role: Role, name: str, secret: bytes, nonce: bytes = b"") -> None:
-        if not 0 < len(name) <= MOST_NAME:
-            raise WireError(f"a name must have 1 to {MOST_NAME} characters, not {len(name)}")
+        if not 0 < len(name) <= MAX_NAME_LENGTH:
+            raise WireError(f"a name must have 1 to {MAX_NAME_LENGTH} characters, not {len(name)}")
         self.role, self.secret = role, secret
         self.hello = HELLO.pack(MAGIC, VERSION, nonce or os.urandom(NONCE), role) + name.encode()
         self.buffer = bytearray()
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -169,13 +169,13 @@
 
 
 def grant(per_s=10.0, term=1, seq=1, lane="d1", **told):
-    fields = {"burst": 1.0, "lease_ms": LEASE_MS, "safe": 5.0, "safe_ms": SAFE_MS} | told
+    fields = {"burst": 1.0, "lease_ms": LEASE_MS, "safe_per_s": 5.0, "safe_ms": SAFE_MS} | told
     return Grant(
         lane,
         per_s,
         fields.pop("burst"),
         fields.pop("lease_ms"),
-        fields.pop("safe"),
+        fields.pop("safe_per_s"),
         fields.pop("safe_ms"),
         term,
         seq,
@@ -212,7 +212,7 @@
 
 def test_a_lapsed_grant_is_reported_as_what_it_still_allows_so_that_planners_that_are_back_confirm_no_more():
     guidance = Guidance()
-    guidance.take(0.0, 0.0, Grants("p1", 1, [grant(per_s=4.0, term=3, seq=9, safe=2.0, limit=20.0)]))
+    guidance.take(0.0, 0.0, Grants("p1", 1, [grant(per_s=4.0, term=3, seq=9, safe_per_s=2.0, limit=20.0)]))
     assert guidance.holding(LEASE_MS + 100.0, "d1") == (2.0, "p1", 3, 9, 20.0, False)
     late = LEASE_MS + SAFE_MS + 1000.0
     grown = guidance.holding(late, "d1")[0]
@@ -221,7 +221,7 @@
     told = LaneReport("d1", "", 50.0, 1.0, 0.0, 0.0, 0.0, 0.0, False, *guidance.holding(late, "d1"))
     (confirmed,) = back.handle(0.0, Report("f1", 1, 250.0, ["p2"], [told])).grants
     assert confirmed.per_s == pytest.approx(grown) and confirmed.term == 4 and confirmed.limit == 20.0
-    assert not confirmed.counts and not back.lanes["d1"].all_promised(0.0), "it is no grant"
+    assert not confirmed.is_grant and not back.lanes["d1"].all_promised(0.0), "it is no grant"
     guidance.take(late, late, Grants("p2", 1, [confirmed]))
     assert guidance.bound(late + 1000.0, "d1") == pytest.approx(grown), "it grows no further meanwhile"
     assert guidance.live(late + 1000.0, "d1") == 0.0 and guidance.holding(late + 1000.0, "d1")[5]
@@ -581,7 +581,7 @@
         rows = [LaneReport(f"e{route}", "d1", 5.0, 1.0) for route in ("a", "b", "c")]
         planner.handle(0.0, Report(f"f{n}", 1, 250.0, ["p1"], rows))
         answer = planner.handle(1.0, Report(f"f{n}", 2, 250.0, ["p1"], rows))
-        firsts += [told.lane for told in answer.grants if told.handicap == 0.0]
+        firsts += [told.lane for told in answer.grants if told.score_penalty == 0.0]
     assert len(firsts) == 60 and all(firsts.count(f"e{route}") > 8 for route in ("a", "b", "c"))
 
 
