--- a/rushhitch/planning/planner.py
+++ b/rushhitch/planning/planner.py
@@ -12,7 +12,7 @@
 import math
 from dataclasses import dataclass, field
 
-from rushhitch.planning.limits import Limit, Return
+from rushhitch.planning.limits import Limit, Recovery
 from rushhitch.planning.messages import Grant, Grants, LaneReport, Report
 from rushhitch.planning.shares import divide, rendezvous
 from rushhitch.planning.slots import AHEAD_MS, DEALT_PER_S, Slots
@@ -83,7 +83,7 @@
     name: str
     group: str = ""
     limit: Limit = field(default_factory=Limit)
-    coming_back: Return = field(default_factory=Return)
+    recovery: Recovery = field(default_factory=Recovery)
     shares: dict[str, Share] = field(default_factory=dict)
     slots: Slots = field(default_factory=Slots)
     wait_until: float = -math.inf
@@ -180,11 +180,11 @@
         taken, refused = share.outcomes(sent, taken, refused)
         lane.limit.note(now, sent, taken, refused, told.wait_ms)
         lane.wait_until = max(lane.wait_until, now + told.wait_ms if told.wait_ms > 0 else -math.inf)
-        was_cold = lane.coming_back.cold
-        lane.coming_back.note(now, 2 * lane.colds > len(lane.shares), taken)
-        if lane.coming_back.cold and not was_cold:
+        was_cold = lane.recovery.cold
+        lane.recovery.note(now, 2 * lane.colds > len(lane.shares), taken)
+        if lane.recovery.cold and not was_cold:
             lane.before = lane.limit.peak
-        lane.limit.look(now)
+        lane.limit.update(now)
         return lane
 
     def plausible(self, lane: Lane, share: Share) -> float:
@@ -239,7 +239,7 @@
 
     def capacity(self, now: float, lane: Lane) -> float:
         """What all forwarders together may send."""
-        warmth = lane.coming_back.warmth(now, self.cold_from, self.warm_ms)
+        warmth = lane.recovery.warmth(now, self.cold_from, self.warm_ms)
         if warmth == 1.0:
             return lane.limit.per_s
         known = min(lane.limit.per_s, max(lane.before, 1.0))
@@ -295,7 +295,7 @@
     ) -> tuple[float, int, list[float]]:
         """For how long, from which number on and when its calls may go. A lane that comes back cold is left
         to rates: the module's own trials come first there."""
-        if capacity > DEALT_PER_S or lane.coming_back.cold or lane.needed < CROWDED:
+        if capacity > DEALT_PER_S or lane.recovery.cold or lane.needed < CROWDED:
             return 0.0, 0, []
         lane.slots.deal(now, capacity, shares)
         number, slots = lane.slots.of(now, forwarder)
@@ -304,7 +304,7 @@
     def burst(self, lane: Lane, per_s: float, capacity: float) -> float:
         """Calls that may go at once. Where the limit is not needed, a message need not wait until its
         forwarder's small part of it has come: others do not use theirs."""
-        idle = 0.0 if lane.coming_back.cold else max(1.0 - lane.needed, 0.0)
+        idle = 0.0 if lane.recovery.cold else max(1.0 - lane.needed, 0.0)
         return max(per_s * BURST_MS / 1000.0, 1.0) + idle * capacity * IDLE_MS / 1000.0
 
     def room(self, now: float, lane: Lane, forwarder: str, capacity: float) -> float:
--- a/rushhitch/planning/server.py
+++ b/rushhitch/planning/server.py
@@ -129,7 +129,7 @@
                     "state": state,
                     "limit": None if limit == float("inf") else limit,
                     "kind": lane.limit.kind,
-                    "cold": lane.coming_back.cold,
+                    "cold": lane.recovery.cold,
                     "wait_ms": max(lane.wait_until - now, 0.0),
                     "term": lane.term,
                     "owner": self.planner.owner(lane.name),
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -76,7 +76,7 @@
             sent, taken = sent + 1, taken + partner.admits(at)
             at += 1.0 / rate
         limit.note((step + 1) * 250.0, sent, taken, sent - taken)
-        limit.look((step + 1) * 250.0)
+        limit.update((step + 1) * 250.0)
         if step > 20:
             calls[0], calls[1] = calls[0] + sent, calls[1] + taken
     return limit, calls
@@ -121,7 +121,7 @@
     limit = Limit()
     for step in range(40):
         limit.note(250.0 * step, 10.0, 10.0 - (step % 10 == 0), float(step % 10 == 0))
-        limit.look(250.0 * step)
+        limit.update(250.0 * step)
     assert limit.per_s == math.inf
 
 
@@ -130,7 +130,7 @@
     limit.take_over(20.0, 0.0)
     for step in range(1, 21):
         limit.note(250.0 * step, 5.0, 5.0, 0.0)
-        limit.look(250.0 * step)
+        limit.update(250.0 * step)
     assert 20.0 < limit.per_s < 21.5
 
 
@@ -141,7 +141,7 @@
         limit = Limit(40.0)
         for step in range(12):
             limit.note(250.0 * step, 5.0, 5.0 - (step == 6), float(step == 6), wait_ms if step == 6 else 0.0)
-            limit.look(250.0 * step)
+            limit.update(250.0 * step)
         found.append(limit.per_s)
     assert found[1] < 30.0 < 35.0 < found[0]
 
@@ -150,7 +150,7 @@
     limit = Limit(50.0)
     for step in range(400):
         limit.note(step * 250.0, 2.0, 2.0, 0.0)
-        limit.look(step * 250.0)
+        limit.update(step * 250.0)
     assert limit.per_s == 50.0
 
 
