--- a/rushhitch/planning/server.py
+++ b/rushhitch/planning/server.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from rushhitch.config.deployment import DeploymentSettings
-from rushhitch.planning.planner import ALIVE_MS, Planner
+from rushhitch.planning.planner import LIVENESS_TIMEOUT_MS, Planner
 from rushhitch.planning.wire import Kind, Link, Role, WireError, decode_report, encode_grants, frame
 
 if TYPE_CHECKING:
@@ -136,7 +136,7 @@
                     "shares": shares,
                 }
             )
-        alive = [name for name, at in self.planner.forwarders.items() if now - at < ALIVE_MS]
+        alive = [name for name, at in self.planner.forwarders.items() if now - at < LIVENESS_TIMEOUT_MS]
         told = {"planner": self.planner.name, "up": sorted(self.planner.up), "forwarders": sorted(alive)}
         if self.member is not None:
             told["members"] = self.member.report()["members"]
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -17,7 +17,7 @@
 from rushhitch.planning.guidance import GROW_MOST, GROW_PER_S, Guidance
 from rushhitch.planning.limits import Limit
 from rushhitch.planning.messages import Grant, Grants, LaneReport, Report
-from rushhitch.planning.planner import LEARN_MS, LEASE_MS, SAFE_MS, SAFE_SHARE, Planner
+from rushhitch.planning.planner import LEARNING_MS, LEASE_MS, SAFE_MS, SAFE_SHARE, Planner
 from rushhitch.planning.shares import divide, jain, rendezvous
 from rushhitch.planning.slots import AHEAD_MS, DEALT_PER_S, Slots
 
@@ -221,7 +221,7 @@
     told = LaneReport("d1", "", 50.0, 1.0, 0.0, 0.0, 0.0, 0.0, False, *guidance.holding(late, "d1"))
     (confirmed,) = back.handle(0.0, Report("f1", 1, 250.0, ["p2"], [told])).grants
     assert confirmed.per_s == pytest.approx(grown) and confirmed.term == 4 and confirmed.limit == 20.0
-    assert not confirmed.is_grant and not back.lanes["d1"].all_promised(0.0), "it is no grant"
+    assert not confirmed.is_grant and not back.lanes["d1"].total_promised(0.0), "it is no grant"
     guidance.take(late, late, Grants("p2", 1, [confirmed]))
     assert guidance.bound(late + 1000.0, "d1") == pytest.approx(grown), "it grows no further meanwhile"
     assert guidance.live(late + 1000.0, "d1") == 0.0 and guidance.holding(late + 1000.0, "d1")[5]
@@ -451,7 +451,7 @@
     before = {name: guidance.bound(talk.now, "d1") for name, guidance in talk.held.items()}
     began = talk.now
     talk.planner = Planner("p1", ["p1"])
-    while talk.now < began + LEARN_MS - 500.0:
+    while talk.now < began + LEARNING_MS - 500.0:
         talk.now += 250.0
         talk.report("f1", demand=100.0)
         talk.report("f2", demand=100.0)
@@ -516,7 +516,7 @@
     for key, value in told.items():
         setattr(row, key, value)
     answer = talk.planner.handle(talk.now, Report("f2", 99, 250.0, ["p1"], [row]))
-    assert answer.grants == [] and talk.planner.nonsense == 1
+    assert answer.grants == [] and talk.planner.ignored_rows == 1
     assert [told.per_s > 0 for told in talk.report("f1")] == [True]
 
 
@@ -586,11 +586,11 @@
 
 
 def test_made_up_lanes_do_not_fill_the_planner(monkeypatch):
-    monkeypatch.setattr(planner_module, "MOST_LANES", 50)
+    monkeypatch.setattr(planner_module, "MAX_LANES", 50)
     planner = Planner("p1", ["p1"])
     rows = [LaneReport(f"d{n}", "", 1.0) for n in range(80)]
     planner.handle(0.0, Report("f1", 1, 250.0, ["p1"], rows))
-    assert len(planner.lanes) == 50 and planner.nonsense == 30
+    assert len(planner.lanes) == 50 and planner.ignored_rows == 30
 
 
 def test_lanes_and_forwarders_that_are_gone_are_forgotten():
@@ -808,7 +808,7 @@
 def test_moments_keep_small_limits_better_than_rates_alone(monkeypatch):
     case = Case(seed=3, seconds=30.0, limits=(8.0, 12.0))
     dealt = quantile(play(case).pressure, 0.95)
-    monkeypatch.setattr(planner_module, "CROWDED", math.inf)
+    monkeypatch.setattr(planner_module, "SLOTTED_DEMAND_RATIO", math.inf)
     assert quantile(play(case).pressure, 0.95) > dealt + 0.03
 
 
