--- a/rushhitch/planning/client.py
+++ b/rushhitch/planning/client.py
@@ -1,4 +1,4 @@
-"""The forwarder's side of the wire: reports to all planners, and what they grant to the node."""
+"""The forwarder's connections to the planners: sends reports and receives grants."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 log = logging.getLogger(__name__)
 
-REPORT_S = 0.25  # between two reports
-HEARD_S = 1.0  # a planner that has not answered for so long is not heard
+REPORT_S = 0.25  # between reports
+HEARD_S = 1.0  # since the last answer, after which a planner is not reported as heard
 CONNECT_S = 1.0
-BACKOFF_S, BACKOFF_TOP_S = 0.2, 1.0  # between two tries to connect: doubled, and stretched by chance
-MOST_UNSENT = 1_048_576  # bytes that a planner does not take: reports are left out until it does
+BACKOFF_S, MAX_BACKOFF_S = 0.2, 1.0  # between connection attempts: exponential, with jitter
+MAX_UNSENT_BYTES = 1_048_576  # reports are skipped while a planner leaves more than this unread
 
 
 class PlannerLink(asyncio.Protocol):
-    """One planner: a connection that is kept up."""
+    """The connection to one planner, re-established when it is lost."""
 
     def __init__(self, client: PlannerClient, name: str, address: tuple[str, int]) -> None:
         self.client, self.name, self.address = client, name, address
@@ -29,7 +29,7 @@
         self.transport: asyncio.Transport | None = None
         self.lost = asyncio.Event()
         self.answered_at = -1e9
-        self.asked: dict[int, float] = {}  # by number of the report, when it was sent, in milliseconds
+        self.asked: dict[int, float] = {}  # send time by report number, in milliseconds
 
     async def run(self) -> None:
         failures = 0
@@ -43,7 +43,7 @@
                 failures = 0 if self.link is not None and self.link.ready else failures
             except (OSError, TimeoutError) as error:
                 log.debug("planner %s is not reached: %r", self.name, error)
-            rest = min(BACKOFF_S * 2.0 ** min(failures, 8), BACKOFF_TOP_S)
+            rest = min(BACKOFF_S * 2.0 ** min(failures, 8), MAX_BACKOFF_S)
             failures += 1
             await asyncio.sleep(rest * random.uniform(0.5, 1.5))
 
@@ -63,7 +63,7 @@
         try:
             for kind, payload in self.link.receive(data):
                 if not self.link.ready:
-                    self.transport.write(self.link.shake(kind, payload))
+                    self.transport.write(self.link.handshake(kind, payload))
                     peer = (self.link.peer_role, self.link.peer)
                     if self.link.ready and peer != (Role.PLANNER, self.name):
                         raise WireError(f"{self.link.peer!r} answers where planner {self.name!r} should")
@@ -78,7 +78,7 @@
     def take(self, grants: Grants) -> None:
         asked_at = self.asked.pop(grants.number, None)
         if asked_at is None or grants.planner != self.name:
-            return  # an answer to nothing that was asked on this connection grants nothing
+            return  # ignores answers to reports that were not sent on this connection
         for number in [n for n in self.asked if n < grants.number]:
             del self.asked[number]
         self.answered_at = self.client.loop.time()
@@ -87,15 +87,15 @@
     def report(self, report: Report) -> None:
         if self.link is None or not self.link.ready or self.transport is None:
             return
-        if self.transport.get_write_buffer_size() > MOST_UNSENT:
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             return
         self.asked[report.number] = self.client.loop.time() * 1000.0
         self.transport.write(frame(Kind.REPORT, encode_report(report)))
 
 
 class PlannerClient:
-    """All planners of a forwarder. `collect` gives what it saw on each lane since the last call, less what
-    it holds; `tell` hands the decision module an allowance."""
+    """Connections of a forwarder to all planners. `collect` returns the counts per lane since its last call,
+    without the fields on grants; `tell` passes an allowance to the decision module."""
 
     def __init__(
         self,
@@ -128,14 +128,14 @@
 
     async def run(self) -> None:
         while True:
-            await asyncio.sleep(self.report_s * random.uniform(0.9, 1.1))  # forwarders do not report in step
+            await asyncio.sleep(self.report_s * random.uniform(0.9, 1.1))  # avoids reports in step
             try:
                 self.step()
             except Exception:
                 log.exception("a report failed")
 
     def step(self) -> None:
-        """One report to all, and what the module must be told."""
+        """Sends one report to all planners, then passes on allowances that are due."""
         now = self.loop.time()
         elapsed, self.reported_at = (now - self.reported_at) * 1000.0, now
         lanes = self.collect(elapsed)
--- a/rushhitch/planning/server.py
+++ b/rushhitch/planning/server.py
@@ -1,4 +1,4 @@
-"""The planner's process: a listener round `Planner`. Run as `python -m rushhitch plan`."""
+"""The planner process: a server for `Planner`. Run as `python -m rushhitch plan`."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 log = logging.getLogger(__name__)
 
-SHAKE_S = 2.0  # a connection that has not proved itself by then is closed
-SILENT_S = 10.0  # a forwarder that says nothing for so long is gone
-MOST_CONNECTIONS = 2_000
-MOST_UNSENT = 8_388_608  # bytes of answers that a forwarder does not take: it is dropped
+HANDSHAKE_TIMEOUT_S = 2.0  # then an unauthenticated connection is closed
+IDLE_TIMEOUT_S = 10.0  # then a silent forwarder is disconnected
+MAX_CONNECTIONS = 2_000
+MAX_UNSENT_BYTES = 8_388_608  # of answers; a forwarder that leaves more unread is disconnected
 
 
 class Connection(asyncio.Protocol):
-    """A forwarder, or somebody who wants to see the view."""
+    """A connection of a forwarder or of `plan --show`."""
 
     def __init__(self, server: PlannerServer) -> None:
         self.server = server
@@ -35,7 +35,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport: asyncio.Transport = transport  # type: ignore[assignment]
-        if len(self.server.connections) >= MOST_CONNECTIONS:
+        if len(self.server.connections) >= MAX_CONNECTIONS:
             self.refuse("too many connections")
             return
         self.server.connections.add(self)
@@ -49,7 +49,7 @@
         try:
             for kind, payload in self.link.receive(data):
                 if not self.link.ready:
-                    self.transport.write(self.link.shake(kind, payload))
+                    self.transport.write(self.link.handshake(kind, payload))
                 else:
                     self.take(kind, payload)
         except WireError as error:
@@ -62,7 +62,7 @@
             if report.forwarder != self.link.peer:
                 raise WireError(f"{self.link.peer} reports as {report.forwarder!r}")
             answer = self.server.planner.handle(self.loop.time() * 1000.0, report)
-            if self.transport.get_write_buffer_size() > MOST_UNSENT:
+            if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
                 raise WireError("it does not take its answers")
             self.transport.write(frame(Kind.GRANTS, encode_grants(answer)))
         elif kind is Kind.SHOW and self.link.peer_role is Role.SHOW:
@@ -77,27 +77,27 @@
 
 
 class PlannerServer:
-    """Listens, and drops what falls silent."""
+    """Accepts connections and closes idle ones."""
 
     def __init__(self, planner: Planner, secret: bytes) -> None:
         self.planner, self.secret = planner, secret
         self.connections: set[Connection] = set()
         self.server: asyncio.Server | None = None
-        self.member: Member | None = None  # where the planner is a member too
+        self.member: Member | None = None  # set if the planner takes part in membership
 
     async def listen(self, address: tuple[str, int]) -> tuple[str, int]:
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: Connection(self), *address)
-        loop.call_later(SHAKE_S, self.sweep)
+        loop.call_later(HANDSHAKE_TIMEOUT_S, self.sweep)
         return self.server.sockets[0].getsockname()[:2]
 
     def sweep(self) -> None:
         loop = asyncio.get_running_loop()
         for connection in list(self.connections):
-            patience = SILENT_S if connection.link.ready else SHAKE_S
-            if loop.time() - connection.heard_at > patience:
+            timeout = IDLE_TIMEOUT_S if connection.link.ready else HANDSHAKE_TIMEOUT_S
+            if loop.time() - connection.heard_at > timeout:
                 connection.refuse("nothing was heard for too long")
-        loop.call_later(SHAKE_S, self.sweep)
+        loop.call_later(HANDSHAKE_TIMEOUT_S, self.sweep)
 
     def close(self) -> None:
         if self.server is not None:
@@ -106,7 +106,7 @@
             connection.transport.abort()
 
     def view(self) -> dict[str, Any]:
-        """For people: lane, learned limit and its kind, shares by forwarder, age of reports, term."""
+        """The state for `plan --show`: lanes with limit, kind, term, shares by forwarder, age of reports."""
         now = asyncio.get_running_loop().time() * 1000.0
         lanes = []
         for lane in sorted(self.planner.lanes.values(), key=lambda lane: lane.name):
@@ -120,8 +120,10 @@
                 }
                 for name, share in sorted(lane.shares.items())
             ]
-            mine = self.planner.owner(lane.name) == self.planner.name
-            state = "another's" if not mine else "learning" if self.planner.learning(now, lane) else "planned"
+            owned = self.planner.owner(lane.name) == self.planner.name
+            state = (
+                "another's" if not owned else "learning" if self.planner.learning(now, lane) else "planned"
+            )
             limit = lane.limit.per_s
             lanes.append(
                 {
@@ -137,14 +139,14 @@
                 }
             )
         alive = [name for name, at in self.planner.forwarders.items() if now - at < LIVENESS_TIMEOUT_MS]
-        told = {"planner": self.planner.name, "up": sorted(self.planner.up), "forwarders": sorted(alive)}
+        summary = {"planner": self.planner.name, "up": sorted(self.planner.up), "forwarders": sorted(alive)}
         if self.member is not None:
-            told["members"] = self.member.report()["members"]
-        return told | {"lanes": lanes}
+            summary["members"] = self.member.report()["members"]
+        return summary | {"lanes": lanes}
 
 
 async def serve(deployment: DeploymentSettings, name: str) -> None:
-    """Plan until SIGTERM or SIGINT."""
+    """Runs a planner until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -154,7 +156,7 @@
     )
     server = PlannerServer(planner, deployment.secret)
     if deployment.membership is not None:
-        from rushhitch.membership.server import Server as Member  # with its library: only where it is on
+        from rushhitch.membership.server import Server as Member  # imported on demand, with its library
 
         named = replace(deployment.membership, name=deployment.membership.name or name)
         server.member = Member(named, deployment.membership.fleet or 1)
--- a/rushhitch/planning/show.py
+++ b/rushhitch/planning/show.py
@@ -1,4 +1,4 @@
-"""A running planner's view, as a table."""
+"""Fetches a running planner's view and prints it as a table."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from rushhitch.config.deployment import DeploymentError, DeploymentSettings
 from rushhitch.planning.wire import Kind, Link, Role, WireError, frame
 
-PATIENCE_S = 3.0
+TIMEOUT_S = 3.0
 
 
 async def fetch(address: tuple[str, int], secret: bytes) -> dict[str, Any]:
-    """The view; a `WireError` or an `OSError` where it cannot be had."""
+    """Returns the view; raises `WireError`, `OSError` or `TimeoutError`."""
     link = Link(Role.SHOW, "show", secret)
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TIMEOUT_S):
         reader, writer = await asyncio.open_connection(*address)
         try:
             writer.write(link.greeting())
@@ -23,7 +23,7 @@
                 for kind, payload in link.receive(data):
                     if kind is Kind.VIEW:
                         return json.loads(payload)
-                    writer.write(link.shake(kind, payload))
+                    writer.write(link.handshake(kind, payload))
                     if link.ready:
                         writer.write(frame(Kind.SHOW))
             raise WireError("the planner closed the connection")
@@ -32,7 +32,7 @@
 
 
 def table(view: dict[str, Any]) -> str:
-    """Lane, learned limit and its kind, shares by forwarder, age of reports, term."""
+    """Formats the view with one line per lane."""
     rows = [
         ("lane", "state", "limit/s", "kind", "term", "cold", "wait ms", "promised", "shares by forwarder")
     ]
--- a/rushhitch/planning/wire.py
+++ b/rushhitch/planning/wire.py
@@ -1,14 +1,14 @@
-"""The wire between forwarders and planners, version 1. Bytes in, messages out; no I/O.
+"""The wire protocol between forwarders and planners, version 1. Bytes in, messages out; no I/O.
 
     frame      length u32 (of type and payload, big-endian), type u8, payload
     hello      magic "RHPL", version u16, nonce 16 bytes, role u8, name
-    proof      HMAC-SHA256 of the secret over the other side's hello and one's own
+    proof      HMAC-SHA256 with the secret over the peer's hello and one's own
     report     MessagePack array, as in `messages.Report`
     grants     MessagePack array, as in `messages.Grants`
-    refusal    text: why the connection is closed
+    refusal    text: reason for closing the connection
 
-Both sides say hello at once and prove that they know the secret; nothing else counts before that. Everything
-is bounded: a frame by its length, a report by its lanes. An unknown version or type is refused with a word.
+Both sides send hello immediately and prove that they know the secret; no other frame is accepted before that.
+Sizes are bounded: a frame's length, a report's lanes. An unknown version or type is refused with a reason.
 """
 
 from __future__ import annotations
@@ -28,25 +28,25 @@
 MAGIC, VERSION = b"RHPL", 1
 FRAME = struct.Struct(">IB")
 HELLO = struct.Struct(">4sH16sB")
-MOST_FRAME = 4_194_304  # bytes: 20,000 lanes in one report
-MOST_HELLO = 512  # bytes, before the other side is known
-NONCE = 16
+MAX_FRAME_BYTES = 4_194_304  # enough for 20,000 lanes in one report
+MAX_HELLO_BYTES = 512  # for frames before authentication
+NONCE_BYTES = 16
 
 
 class Kind(enum.IntEnum):
-    """The frames."""
+    """Frame types."""
 
     HELLO = 1
     PROOF = 2
     REPORT = 3
     GRANTS = 4
     REFUSAL = 5
-    SHOW = 6  # asks a planner for its view
+    SHOW = 6  # request for a planner's view
     VIEW = 7
 
 
 class Role(enum.IntEnum):
-    """Who says hello."""
+    """Roles in a hello."""
 
     FORWARDER = 1
     PLANNER = 2
@@ -54,18 +54,18 @@
 
 
 class WireError(ValueError):
-    """What came cannot be read, or is not allowed; the text says why."""
+    """Received data is malformed or not allowed; the text gives the reason."""
 
 
-def _row(kind: type) -> type[msgspec.Struct]:
-    """A message's form on the wire: its fields by position, as the dataclass has them, all of them there."""
-    told = get_type_hints(kind)
+def _positional_struct(kind: type) -> type[msgspec.Struct]:
+    """A message's wire form: all fields of the dataclass by position, in its order, none optional."""
+    types = get_type_hints(kind)
     return msgspec.defstruct(
-        f"_{kind.__name__}", [(item.name, told[item.name]) for item in fields(kind)], array_like=True
+        f"_{kind.__name__}", [(item.name, types[item.name]) for item in fields(kind)], array_like=True
     )
 
 
-_Lane, _Grant = _row(LaneReport), _row(Grant)
+_Lane, _Grant = _positional_struct(LaneReport), _positional_struct(Grant)
 
 
 class _Report(msgspec.Struct, array_like=True):
@@ -94,13 +94,13 @@
 
 
 def decode_report(data: bytes) -> Report:
-    """A report; a `WireError` where it is none. Its figures are checked by `LaneReport.is_valid`."""
+    """Decodes a report or raises `WireError`. `LaneReport.is_valid` checks its values."""
     try:
-        told = _read_report(data)
+        row = _read_report(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise WireError(f"not a report: {error}") from None
-    lanes = [LaneReport(*[getattr(lane, name) for name in _LANE]) for lane in told.lanes]
-    return Report(told.forwarder, told.number, told.elapsed_ms, told.heard, lanes)
+    lanes = [LaneReport(*[getattr(lane, name) for name in _LANE]) for lane in row.lanes]
+    return Report(row.forwarder, row.number, row.elapsed_ms, row.heard, lanes)
 
 
 def encode_grants(grants: Grants) -> bytes:
@@ -109,47 +109,47 @@
 
 
 def decode_grants(data: bytes) -> Grants:
-    """A planner's answer; a `WireError` where it is none."""
+    """Decodes a planner's answer or raises `WireError`."""
     try:
-        told = _read_grants(data)
+        row = _read_grants(data)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise WireError(f"not grants: {error}") from None
-    grants = [Grant(*[getattr(grant, name) for name in _GRANT]) for grant in told.grants]
-    return Grants(told.planner, told.number, grants)
+    grants = [Grant(*[getattr(grant, name) for name in _GRANT]) for grant in row.grants]
+    return Grants(row.planner, row.number, grants)
 
 
 def frame(kind: Kind, payload: bytes = b"") -> bytes:
-    if len(payload) >= MOST_FRAME:
-        raise WireError(f"a frame of {len(payload)} bytes, more than {MOST_FRAME}")
+    if len(payload) >= MAX_FRAME_BYTES:
+        raise WireError(f"a frame of {len(payload)} bytes, more than {MAX_FRAME_BYTES}")
     return FRAME.pack(1 + len(payload), kind) + payload
 
 
 class Link:
-    """One connection's protocol: feed it bytes, take frames out. `role` and `name` are one's own; `peer_role`
-    and `peer` are there once the other side has proved itself, which `ready` says."""
+    """Protocol state of one connection: bytes in, frames out. `role` and `name` are its own; `peer_role` and
+    `peer` are authenticated once `ready` is true."""
 
     def __init__(self, role: Role, name: str, secret: bytes, nonce: bytes = b"") -> None:
         if not 0 < len(name) <= MAX_NAME_LENGTH:
             raise WireError(f"a name must have 1 to {MAX_NAME_LENGTH} characters, not {len(name)}")
         self.role, self.secret = role, secret
-        self.hello = HELLO.pack(MAGIC, VERSION, nonce or os.urandom(NONCE), role) + name.encode()
+        self.hello = HELLO.pack(MAGIC, VERSION, nonce or os.urandom(NONCE_BYTES), role) + name.encode()
         self.buffer = bytearray()
         self.peer, self.peer_role = "", role
         self.peer_hello = b""
         self.ready = False
 
     def greeting(self) -> bytes:
-        """What to send first."""
+        """The first frame to send."""
         return frame(Kind.HELLO, self.hello)
 
     def receive(self, data: bytes) -> Iterator[tuple[Kind, bytes]]:
-        """Frames that came, past the handshake; `answers` must be sent in between. A `WireError` ends it."""
+        """Yields complete frames; raises `WireError`. Pass handshake frames to `handshake` meanwhile."""
         self.buffer += data
         while len(self.buffer) >= FRAME.size:
             length, number = FRAME.unpack_from(self.buffer)
-            most = MOST_FRAME if self.ready else MOST_HELLO
-            if not 1 <= length <= most:
-                raise WireError(f"a frame of {length} bytes, more than {most}")
+            limit = MAX_FRAME_BYTES if self.ready else MAX_HELLO_BYTES
+            if not 1 <= length <= limit:
+                raise WireError(f"a frame of {length} bytes, more than {limit}")
             if len(self.buffer) < FRAME.size - 1 + length:
                 return
             payload = bytes(self.buffer[FRAME.size : FRAME.size - 1 + length])
@@ -162,8 +162,8 @@
                 raise WireError(f"the other side refused: {payload.decode('utf-8', 'replace')[:200]}")
             yield kind, payload
 
-    def shake(self, kind: Kind, payload: bytes) -> bytes:
-        """Follow a frame of the handshake; what to send in answer."""
+    def handshake(self, kind: Kind, payload: bytes) -> bytes:
+        """Processes a handshake frame and returns the bytes to answer."""
         if kind is Kind.HELLO and not self.peer_hello:
             self.read_hello(payload)
             return frame(Kind.PROOF, self.proof(self.peer_hello, self.hello))
@@ -191,10 +191,10 @@
         except ValueError:
             raise WireError("a hello with an unknown role or an unreadable name") from None
         if self.peer_role is self.role:
-            # Guards against reflection too: a stranger that sends a side's own hello and proof back to it.
+            # Also prevents reflection: a peer that sends a side's own hello and proof back to it.
             raise WireError(f"a {self.role.name.lower()} does not talk to another: check the addresses")
         self.peer_hello = payload
 
     def proof(self, theirs: bytes, ours: bytes) -> bytes:
-        """Bound to both hellos, and to their order: neither side's proof serves as the other's."""
+        """Covers both hellos in order, so that one side's proof is not valid as the other's."""
         return hmac.digest(self.secret, theirs + b"\0" + ours, "sha256")
--- a/tests/test_planning_wire.py
+++ b/tests/test_planning_wire.py
@@ -16,7 +16,7 @@
 from rushhitch.planning.server import PlannerServer
 from rushhitch.planning.shares import jain
 from rushhitch.planning.wire import (
-    MOST_FRAME,
+    MAX_FRAME_BYTES,
     Kind,
     Link,
     Role,
@@ -55,57 +55,57 @@
     link = Link(Role.PLANNER, "p1", SECRET)
     try:
         for kind, payload in link.receive(data):
-            link.shake(kind, payload)
+            link.handshake(kind, payload)
     except WireError:
         pass
     assert not link.ready
 
 
-def shaken(one, other):
-    """Both sides' handshakes, byte by byte."""
+def complete_handshake(one, other):
+    """Runs the handshake of both sides, one byte at a time."""
     to_other, to_one = one.greeting(), other.greeting()
     while to_other or to_one:
         answers = [b"", b""]
         for side, data, number in ((other, to_other, 0), (one, to_one, 1)):
             for byte in data:
                 for kind, payload in side.receive(bytes([byte])):
-                    answers[number] += side.shake(kind, payload)
+                    answers[number] += side.handshake(kind, payload)
         to_one, to_other = answers
     return one.ready and other.ready
 
 
 def test_both_sides_prove_the_secret():
     forwarder, planner = Link(Role.FORWARDER, "f1", SECRET), Link(Role.PLANNER, "p1", SECRET)
-    assert shaken(forwarder, planner)
+    assert complete_handshake(forwarder, planner)
     assert (planner.peer, planner.peer_role) == ("f1", Role.FORWARDER)
     assert (forwarder.peer, forwarder.peer_role) == ("p1", Role.PLANNER)
 
 
 def test_another_secret_another_version_and_strangers_are_refused():
     with pytest.raises(WireError, match="the shared secrets differ"):
-        shaken(Link(Role.FORWARDER, "f1", SECRET), Link(Role.PLANNER, "p1", b"another secret"))
+        complete_handshake(Link(Role.FORWARDER, "f1", SECRET), Link(Role.PLANNER, "p1", b"another secret"))
     link = Link(Role.PLANNER, "p1", SECRET)
     newer = Link(Role.FORWARDER, "f1", SECRET)
     newer.hello = newer.hello[:4] + b"\x00\x02" + newer.hello[6:]
     with pytest.raises(
         WireError, match="version 2 of the wire, and this build speaks 1: upgrade the older side"
     ):
-        shaken(newer, link)
+        complete_handshake(newer, link)
     with pytest.raises(WireError, match="a frame of 1347375956 bytes"):  # an HTTP client
         list(Link(Role.PLANNER, "p1", SECRET).receive(b"POST / HTTP/1.1\r\n"))
     with pytest.raises(WireError, match="not a forwarder or planner"):
-        shaken_by = Link(Role.PLANNER, "p1", SECRET)
-        for kind, payload in shaken_by.receive(frame(Kind.HELLO, b"x" * 40)):
-            shaken_by.shake(kind, payload)
+        planner = Link(Role.PLANNER, "p1", SECRET)
+        for kind, payload in planner.receive(frame(Kind.HELLO, b"x" * 40)):
+            planner.handshake(kind, payload)
 
 
 def test_a_proof_does_not_serve_the_other_side():
-    # Guards against a stranger that sends a planner's own proof back to it.
+    # Reflection: a stranger sends a planner's own hello and proof back to it.
     planner, second = Link(Role.PLANNER, "p1", SECRET), Link(Role.PLANNER, "p1", SECRET)
     for greeting in (planner.greeting(), second.greeting()):
         with pytest.raises(WireError, match="a planner does not talk to another"):
             for kind, payload in planner.receive(greeting):
-                planner.shake(kind, payload)
+                planner.handshake(kind, payload)
     assert not planner.ready
 
 
@@ -113,11 +113,11 @@
     link = Link(Role.PLANNER, "p1", SECRET)
     ((kind, payload),) = list(link.receive(frame(Kind.REPORT, b"x")))
     with pytest.raises(WireError, match="before the handshake is over"):
-        link.shake(kind, payload)
+        link.handshake(kind, payload)
     with pytest.raises(WireError, match="more than 512"):
         list(Link(Role.PLANNER, "p1", SECRET).receive(frame(Kind.HELLO, bytes(600))))
     with pytest.raises(WireError, match="more than"):
-        frame(Kind.REPORT, bytes(MOST_FRAME))
+        frame(Kind.REPORT, bytes(MAX_FRAME_BYTES))
     with pytest.raises(WireError, match="1 to 200 characters"):
         Link(Role.PLANNER, "", SECRET)
 
@@ -135,7 +135,7 @@
 
 
 class Forwarder:
-    """A planner client with counts that the test makes up."""
+    """A planner client with made-up counts."""
 
     def __init__(self, address, name="f1", secret=SECRET):
         self.rows, self.told = [], asyncio.Queue()
