--- a/rushhitch/planning/__init__.py
+++ b/rushhitch/planning/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarders and planners: who may send how much where. The deciding files do no I/O and read no clock."""
+"""Rate planning between forwarders and planners. Decision modules do no I/O and read no clock."""
--- a/rushhitch/planning/counts.py
+++ b/rushhitch/planning/counts.py
@@ -1,4 +1,4 @@
-"""What a forwarder saw on each lane, for its reports. No I/O, no clock: the node tells it."""
+"""Counts per lane for a forwarder's reports. No I/O, no clock: the caller passes times."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from crowpier.interface import Outcome
 from rushhitch.planning.messages import LaneReport
 
-MEMORY_MS = 1_500.0  # of the rate at which messages arrive
-WORK_OFF_MS = 1_000.0  # what is held should be gone in about this time, and is demand
-SHOWN_MS = 4_000.0  # a lane on which nothing happens is reported on so much longer
-TAKEN = frozenset({Outcome.OK, Outcome.ERROR})  # it was let in; what became of it is another matter
+ARRIVAL_SMOOTHING_MS = 1_500.0  # time constant of the arrival rate
+BACKLOG_DRAIN_MS = 1_000.0  # held messages count as demand to be sent in this time
+IDLE_REPORT_MS = 4_000.0  # period for which an idle lane is still reported
+TAKEN = frozenset({Outcome.OK, Outcome.ERROR})  # the partner admitted the call, whatever its result
 
 
 @dataclass(slots=True)
 class Lane:
-    """Counts of one lane since the report before."""
+    """Counts of one lane since the previous report."""
 
     name: str
     group: str
@@ -26,7 +26,7 @@
     taken: float = 0.0
     refused: float = 0.0
     messages: float = 0.0  # in the calls that were sent
-    size: float = 1.0  # messages in a call, of late
+    size: float = 1.0  # messages per call, smoothed
     wait_until: float = -math.inf
     cold: bool = False
     quiet_ms: float = math.inf
@@ -42,10 +42,10 @@
         self.cold: set[str] = set()
         self.arrivals: dict[
             int, list[float]
-        ] = {}  # by destination: since the last report, and the rate of late
+        ] = {}  # by destination: messages since the last report, smoothed rate
 
     def place(self, endpoint: str, destination: int, apart: bool) -> None:
-        """The endpoint is listed; routes apart are lanes of their own."""
+        """Adds a listed endpoint; with `apart` each route is a lane of its own."""
         name, group = (f"e{endpoint}", f"d{destination}") if apart else (f"d{destination}", "")
         if name not in self.lanes:
             self.lanes[name] = Lane(name, group, destination)
@@ -68,7 +68,7 @@
             lane.messages += messages
 
     def ended(self, now: float, endpoint: str, outcome: Outcome, wait_ms: float) -> None:
-        """One message's attempt has its outcome."""
+        """Counts the outcome of one message's attempt."""
         lane = self.by_endpoint.get(endpoint)
         if lane is None:
             return
@@ -88,9 +88,9 @@
     def collect(
         self, now: float, elapsed_ms: float, held: Mapping[int, tuple[int, float]]
     ) -> list[LaneReport]:
-        """Reports of lanes on which something happened, or did a while ago. `held`: messages and their worth
-        by destination."""
-        share = 1.0 - math.exp(-elapsed_ms / MEMORY_MS)
+        """Reports of the lanes with recent activity, and resets the counts. `held`: number of messages and
+        their total worth by destination."""
+        share = 1.0 - math.exp(-elapsed_ms / ARRIVAL_SMOOTHING_MS)
         for counted in self.arrivals.values():
             counted[1] += share * (counted[0] * 1000.0 / max(elapsed_ms, 1.0) - counted[1])
             counted[0] = 0.0
@@ -103,13 +103,13 @@
                 lane.size += 0.3 * (max(lane.messages / lane.sent, 1.0) - lane.size)
             busy = lane.sent or lane.taken or lane.refused or count or rate > 0.01
             lane.quiet_ms = 0.0 if busy else lane.quiet_ms + elapsed_ms
-            if lane.quiet_ms > SHOWN_MS:
+            if lane.quiet_ms > IDLE_REPORT_MS:
                 continue
             found.append(
                 LaneReport(
                     lane.name,
                     lane.group,
-                    (rate + count * 1000.0 / WORK_OFF_MS) / lane.size,
+                    (rate + count * 1000.0 / BACKLOG_DRAIN_MS) / lane.size,
                     worth / count / self.cheapest if count else 1.0,
                     lane.sent,
                     lane.taken,
@@ -122,7 +122,7 @@
         return found
 
     def lane_of(self, name: str) -> int | str | None:
-        """What the decision module calls the lane."""
+        """The decision module's key of the lane; None if it is unknown."""
         lane = self.lanes.get(name)
         if lane is None:
             return None
--- a/rushhitch/planning/shares.py
+++ b/rushhitch/planning/shares.py
@@ -1,8 +1,8 @@
-"""How a limit is divided among those who need it. Pure.
+"""Divides a limit among forwarders. Pure.
 
 Weighted max-min fairness (progressive filling; Bertsekas and Gallager, Data Networks, section 6.5.2): nobody
-gets more than it needs while another wants more, by weight; each that is known has a floor, so that one which
-wakes need not wait for a round of planning.
+gets more than it needs while another needs more, by weight. Each known forwarder has a minimum, so that one
+that becomes active need not wait for a planning round.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 import math
 from collections.abc import Iterable, Mapping
 
-FLOOR_SHARE = 0.05  # of the limit, divided among all that know the lane
-HEADROOM = 1.15  # of a need: it may rise between two reports
+FLOOR_SHARE = 0.05  # of the limit, divided among all that report the lane
+HEADROOM = 1.15  # factor on a need, which may rise between two reports
 
 
 def divide(limit: float, needs: Mapping[str, tuple[float, float]]) -> dict[str, float]:
-    """Shares of a limit by name; `needs` has each one's rate and weight. They add up to the limit at most:
-    what nobody needs is dealt to all alike, since a need may rise at any time."""
+    """Shares of a limit by name; `needs` maps names to rate and weight. The shares add up to at most the
+    limit; the unneeded part is divided equally, since a need may rise at any time."""
     if not needs or limit <= 0:
         return dict.fromkeys(needs, 0.0)
     floor = FLOOR_SHARE * limit / len(needs)
@@ -43,23 +43,23 @@
 
 
 def jain(values: Iterable[float]) -> float:
-    """Jain's index of fairness (1984): 1 where all are alike, 1/n where one has all."""
+    """Jain's fairness index (1984): 1 if all values are equal, 1/n if one has everything."""
     values = list(values)
     squares = sum(value * value for value in values)
     return sum(values) ** 2 / (len(values) * squares) if squares else 1.0
 
 
-def draw(*names: str) -> float:
-    """A number from 0 to 1 that is the same everywhere for the same names."""
+def unit_hash(*names: str) -> float:
+    """A deterministic pseudorandom number from 0 to 1 for the names."""
     digest = hashlib.blake2b("\0".join(names).encode(), digest_size=8).digest()
     return (int.from_bytes(digest, "big") + 1) / (1 << 64)
 
 
 def rendezvous(key: str, nodes: Iterable[str], weights: Mapping[str, float] | None = None) -> str:
     """The node for a key (highest random weight; Thaler and Ravishankar, 1998, with logarithmic weights): if
-    a node goes, only its keys move. An empty string where there is none."""
+    a node is removed, only its keys move. An empty string if there are no nodes."""
 
-    def height(node: str) -> float:
-        return -(weights or {}).get(node, 1.0) / math.log(draw(key, node))
+    def score(node: str) -> float:
+        return -(weights or {}).get(node, 1.0) / math.log(unit_hash(key, node))
 
-    return max(nodes, key=height, default="")
+    return max(nodes, key=score, default="")
