--- a/rushhitch/planning/planner.py
+++ b/rushhitch/planning/planner.py
@@ -15,7 +15,7 @@
 from rushhitch.planning.limits import Limit, Recovery
 from rushhitch.planning.messages import Grant, Grants, LaneReport, Report
 from rushhitch.planning.shares import divide, rendezvous
-from rushhitch.planning.slots import AHEAD_MS, DEALT_PER_S, Slots
+from rushhitch.planning.slots import AHEAD_MS, MAX_SLOTTED_PER_S, Slots
 
 LEASE_MS = 2_000.0  # validity of a grant, from the forwarder's report on
 SAFE_SHARE, SAFE_MS = 0.9, 5_000.0  # of the rate, and period after the lease, for a forwarder that is cut off
@@ -298,9 +298,9 @@
     ) -> tuple[float, int, list[float]]:
         """The period covered, the number of the first slot, and the slots. A recovering lane has rates only:
         the decision module's own trial calls have precedence there."""
-        if capacity > DEALT_PER_S or lane.recovery.cold or lane.demand_ratio < SLOTTED_DEMAND_RATIO:
+        if capacity > MAX_SLOTTED_PER_S or lane.recovery.cold or lane.demand_ratio < SLOTTED_DEMAND_RATIO:
             return 0.0, 0, []
-        lane.slots.deal(now, capacity, shares)
+        lane.slots.assign(now, capacity, shares)
         number, slots = lane.slots.of(now, forwarder)
         return AHEAD_MS, (lane.term << TERM_SHIFT) + number, slots
 
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""Planners and forwarders: the deciding parts by themselves, and together in simulated time."""
+"""Planners and forwarders: the decision parts alone, and together in simulated time."""
 
 import math
 
@@ -14,28 +14,28 @@
 from lab.report import quantile
 from rushhitch.planning import planner as planner_module
 from rushhitch.planning.counts import LaneCounts
-from rushhitch.planning.guidance import GROW_MOST, GROW_PER_S, Guidance
+from rushhitch.planning.guidance import GROWTH_PER_S, MAX_GROWTH, Guidance
 from rushhitch.planning.limits import Limit
 from rushhitch.planning.messages import Grant, Grants, LaneReport, Report
 from rushhitch.planning.planner import LEARNING_MS, LEASE_MS, SAFE_MS, SAFE_SHARE, Planner
 from rushhitch.planning.shares import divide, jain, rendezvous
-from rushhitch.planning.slots import AHEAD_MS, DEALT_PER_S, Slots
+from rushhitch.planning.slots import AHEAD_MS, MAX_SLOTTED_PER_S, Slots
 
 # Shares
 
 
-def test_who_needs_little_gets_it_and_the_rest_is_dealt_alike():
+def test_small_needs_are_met_and_the_rest_is_divided_equally():
     shares = divide(100.0, {"a": (5.0, 1.0), "b": (500.0, 1.0), "c": (500.0, 1.0)})
     assert sum(shares.values()) == pytest.approx(100.0)
     assert 5.0 <= shares["a"] <= 8.0 and shares["b"] == pytest.approx(shares["c"])
 
 
-def test_worth_weighs_among_those_who_want_more():
+def test_worth_is_the_weight_among_unmet_needs():
     shares = divide(90.0, {"a": (500.0, 1.0), "b": (500.0, 2.0)})
     assert 1.8 < shares["b"] / shares["a"] <= 2.0
 
 
-def test_one_that_wakes_finds_a_floor():
+def test_an_idle_forwarder_has_a_minimum_share():
     assert divide(100.0, {"a": (500.0, 1.0), "idle": (0.0, 1.0)})["idle"] >= 2.5
 
 
@@ -52,7 +52,7 @@
     assert shares.keys() == needs.keys()
 
 
-def test_if_a_planner_goes_only_its_lanes_move():
+def test_removing_a_planner_moves_only_its_lanes():
     before = {f"d{n}": rendezvous(f"d{n}", ["p1", "p2", "p3"]) for n in range(300)}
     after = {f"d{n}": rendezvous(f"d{n}", ["p1", "p2"]) for n in range(300)}
     moved = {lane for lane in before if before[lane] != after[lane]}
@@ -84,14 +84,14 @@
 
 @pytest.mark.parametrize("per_s", [4.0, 20.0, 100.0])
 @pytest.mark.parametrize("window_ms", [0.0, 2000.0])
-def test_a_limit_that_nobody_states_is_found(per_s, window_ms):
+def test_an_unstated_limit_is_estimated(per_s, window_ms):
     partner = PartnerLimit(per_s, window_ms, burst=max(per_s / 2, 2.0), offset_ms=700.0)
     limit, (sent, taken) = learned(partner, 60.0, demand=3 * per_s)
     assert 0.85 * per_s <= limit.per_s <= 1.12 * per_s
     assert taken > 0.9 * per_s * 54.75 and sent <= 1.08 * per_s * 54.75
 
 
-def test_a_limit_that_halves_is_found_again():
+def test_the_estimate_follows_a_halved_limit():
     partner = PartnerLimit(40.0, burst=10.0)
 
     def halves():
@@ -101,7 +101,7 @@
     assert 17.0 <= limit.per_s <= 22.5
 
 
-def test_a_limit_that_doubles_is_found_by_and_by():
+def test_the_estimate_follows_a_doubled_limit():
     partner = PartnerLimit(20.0, burst=10.0)
 
     def doubles():
@@ -111,13 +111,13 @@
     assert limit.per_s >= 34.0
 
 
-def test_where_refused_calls_count_the_estimate_still_finds_room():
+def test_the_estimate_converges_if_refused_calls_count_against_the_limit():
     partner = PartnerLimit(20.0, burst=10.0, refused_count=True)
     _, (_, taken) = learned(partner, 120.0, demand=100.0)
     assert taken > 0.7 * 20.0 * 114.75
 
 
-def test_a_few_refusals_by_chance_are_no_limit_while_all_go_as_they_please():
+def test_a_few_random_refusals_do_not_set_a_first_estimate():
     limit = Limit()
     for step in range(40):
         limit.note(250.0 * step, 10.0, 10.0 - (step % 10 == 0), float(step % 10 == 0))
@@ -125,7 +125,7 @@
     assert limit.per_s == math.inf
 
 
-def test_a_limit_that_was_taken_over_grows_gently():
+def test_an_adopted_limit_grows_slowly():
     limit = Limit()
     limit.take_over(20.0, 0.0)
     for step in range(1, 21):
@@ -134,8 +134,8 @@
     assert 20.0 < limit.per_s < 21.5
 
 
-def test_waits_that_keep_all_away_tell_that_the_limit_lies_lower():
-    # One refusal tells all to wait, so few are refused: what was taken shows how far off the estimate is.
+def test_requested_waits_lower_the_estimate_to_the_calls_taken():
+    # A requested wait stops all senders, so few are refused: taken calls show how far off the estimate is.
     found = []
     for wait_ms in (0.0, 500.0):
         limit = Limit(40.0)
@@ -146,7 +146,7 @@
     assert found[1] < 30.0 < 35.0 < found[0]
 
 
-def test_what_is_not_used_proves_nothing():
+def test_an_unused_estimate_does_not_grow():
     limit = Limit(50.0)
     for step in range(400):
         limit.note(step * 250.0, 2.0, 2.0, 0.0)
@@ -154,7 +154,7 @@
     assert limit.per_s == 50.0
 
 
-def test_told_waits_tell_a_window_from_a_rate():
+def test_requested_waits_distinguish_a_window_from_a_rate():
     window, rate = Limit(10.0), Limit(10.0)
     for second in range(6):
         for at in (1200.0, 1400.0, 1600.0, 1800.0):
@@ -183,7 +183,7 @@
     )
 
 
-def test_a_grant_counts_from_when_it_was_asked_for_then_is_safe_then_binds_no_more():
+def test_a_grant_runs_from_its_report_then_falls_to_the_safe_rate_then_is_dropped():
     guidance = Guidance()
     guidance.take(now=500.0, asked_at=100.0, answer=Grants("p1", 1, [grant()]))
     assert guidance.bound(100.0 + LEASE_MS - 1, "d1") == 10.0
@@ -192,11 +192,11 @@
     assert guidance.bound(end - 1, "d1") == 5.0
     grown = [guidance.bound(end + 1000.0 * second, "d1") for second in range(1, 8)]
     assert grown == sorted(grown) and grown[0] < 10.0
-    free = math.log(GROW_MOST) / GROW_PER_S * 1000.0
+    free = math.log(MAX_GROWTH) / GROWTH_PER_S * 1000.0
     assert guidance.bound(end + free + 1, "d1") == math.inf, "planners that are gone bind for ever"
 
 
-def test_moments_count_from_when_it_was_asked_and_only_of_one_planner():
+def test_slots_are_relative_to_the_report_and_come_from_one_planner_only():
     guidance = Guidance()
     guidance.take(130.0, 100.0, Grants("p1", 1, [grant(slots_ms=700.0, slot=5, slots=[40.0, 300.0])]))
     assert guidance.slots(130.0, "d1") == (670.0, 5, (10.0, 270.0))
@@ -210,13 +210,13 @@
     assert guidance.slots(310.0, "d1") == (0.0, 0, ()), "two planners deal the same moments twice"
 
 
-def test_a_lapsed_grant_is_reported_as_what_it_still_allows_so_that_planners_that_are_back_confirm_no_more():
+def test_an_expired_grant_is_reported_at_its_current_bound_and_confirmed_at_no_more():
     guidance = Guidance()
     guidance.take(0.0, 0.0, Grants("p1", 1, [grant(per_s=4.0, term=3, seq=9, safe_per_s=2.0, limit=20.0)]))
     assert guidance.holding(LEASE_MS + 100.0, "d1") == (2.0, "p1", 3, 9, 20.0, False)
     late = LEASE_MS + SAFE_MS + 1000.0
     grown = guidance.holding(late, "d1")[0]
-    assert grown == pytest.approx(2.0 * math.exp(GROW_PER_S)) == guidance.bound(late, "d1")
+    assert grown == pytest.approx(2.0 * math.exp(GROWTH_PER_S)) == guidance.bound(late, "d1")
     back = Planner("p2", ["p2"])
     told = LaneReport("d1", "", 50.0, 1.0, 0.0, 0.0, 0.0, 0.0, False, *guidance.holding(late, "d1"))
     (confirmed,) = back.handle(0.0, Report("f1", 1, 250.0, ["p2"], [told])).grants
@@ -228,7 +228,7 @@
     assert guidance.holding(late + 60_000.0, "d1")[0] == 0.0, "nothing binds it any more"
 
 
-def test_of_two_planners_the_lower_binds_and_a_new_term_fences_the_old_one():
+def test_the_lower_of_two_planners_applies_and_a_new_term_fences_the_old_one():
     guidance = Guidance()
     guidance.take(0.0, 0.0, Grants("p1", 1, [grant(10.0, term=3, seq=5)]))
     guidance.take(0.0, 0.0, Grants("p2", 1, [grant(6.0, term=3, seq=1)]))
@@ -239,7 +239,7 @@
     assert guidance.bound(6.0, "d1") == 8.0, "a planner that woke from a sleep goes on granting"
 
 
-def test_what_comes_late_or_twice_changes_nothing():
+def test_late_and_duplicate_grants_are_ignored():
     guidance = Guidance()
     guidance.take(0.0, 0.0, Grants("p1", 2, [grant(7.0, seq=2)]))
     guidance.take(0.0, 0.0, Grants("p1", 1, [grant(70.0, seq=1)]))
@@ -247,7 +247,7 @@
     assert guidance.bound(LEASE_MS + 1.0, "d1") == 5.0, "a repeated grant does not renew its lease"
 
 
-def test_the_module_is_told_again_before_its_word_runs_out_and_at_each_change():
+def test_allowances_are_refreshed_before_they_expire_and_at_each_change():
     guidance = Guidance()
     guidance.take(0.0, 0.0, Grants("p1", 1, [grant(wait_ms=300.0)]))
     (first,) = guidance.allowances(0.0)
@@ -262,11 +262,11 @@
 # The planner
 
 
-# Moments for calls
+# Time slots
 
 
-def told_moments(slots, names, per_s, shares, span, every=250.0, away=()):
-    """All moments that forwarders hear of who ask in turn every so often, by name and number."""
+def collect_slots(slots, names, per_s, shares, span, every=250.0, away=()):
+    """All slots that forwarders receive with reports every `every` ms, by name and number."""
     heard = {name: {} for name in names}
     now = 0.0
     while now < span:
@@ -274,7 +274,7 @@
             at = now + every * position / len(names)
             if (name, int(now)) in away:
                 continue
-            slots.deal(at, per_s, shares)
+            slots.assign(at, per_s, shares)
             number, moments = slots.of(at, name)
             for offset, moment in enumerate(moments):
                 known = heard[name].setdefault(number + offset, at + moment)
@@ -283,10 +283,10 @@
     return heard
 
 
-def test_moments_are_even_over_all_and_by_share_and_each_has_one_number():
+def test_slots_are_evenly_spaced_in_proportion_to_shares_and_numbered_once():
     names = ["f1", "f2", "f3", "f4"]
     shares = {"f1": 6.0, "f2": 3.0, "f3": 2.0, "f4": 1.0}
-    heard = told_moments(Slots(), names, 12.0, shares, 20_000.0)
+    heard = collect_slots(Slots(), names, 12.0, shares, 20_000.0)
     times = sorted(at for moments in heard.values() for at in moments.values() if at < 19_000.0)
     gaps = [late - early for early, late in zip(times, times[1:], strict=False)]
     assert min(gaps) == pytest.approx(1000.0 / 12.0) == pytest.approx(max(gaps))
@@ -298,23 +298,23 @@
         assert len(middle) == pytest.approx(10 * share, abs=2), "its own are not even"
 
 
-def test_a_forwarder_hears_of_its_moments_before_they_come_also_where_a_report_is_lost():
+def test_slots_are_known_in_advance_even_if_a_report_is_lost():
     slots, shares = Slots(), {"f1": 1.0, "f2": 1.0}
-    told_moments(slots, ["f1", "f2"], 20.0, shares, 5_000.0)
-    slots.deal(5_500.0, 20.0, shares)  # f1 has not asked for half a second
+    collect_slots(slots, ["f1", "f2"], 20.0, shares, 5_000.0)
+    slots.assign(5_500.0, 20.0, shares)  # f1 has not asked for half a second
     _, moments = slots.of(5_500.0, "f1")
     assert moments and moments[0] < 120.0 and moments[-1] > AHEAD_MS - 120.0
 
 
-def test_who_joins_or_was_away_gets_its_share_and_no_more():
+def test_a_forwarder_that_joins_gets_no_more_than_its_share():
     slots = Slots()
-    told_moments(slots, ["f1"], 10.0, {"f1": 1.0}, 10_000.0)
+    collect_slots(slots, ["f1"], 10.0, {"f1": 1.0}, 10_000.0)
     both = {"f1": 1.0, "f2": 1.0}
     counts = dict.fromkeys(both, 0)
     for step in range(200):
         now = 10_000.0 + 50.0 * step
         before = {name: len(slots.of(now, name)[1]) for name in both}
-        slots.deal(now, 10.0, both)
+        slots.assign(now, 10.0, both)
         for name in both:
             counts[name] += len(slots.of(now, name)[1]) - before[name]
     assert abs(counts["f1"] - counts["f2"]) <= 2 and sum(counts.values()) == pytest.approx(100, abs=8)
@@ -322,13 +322,13 @@
     assert slots.of(30_000.0, "f2") == (0, [])
 
 
-def test_a_limit_that_falls_or_rises_moves_the_moments_at_once():
+def test_a_changed_limit_moves_the_slots_at_once():
     slots, shares = Slots(), {"f1": 1.0}
-    told_moments(slots, ["f1"], 0.2, shares, 12_000.0)
-    slots.deal(12_000.0, 20.0, shares)
+    collect_slots(slots, ["f1"], 0.2, shares, 12_000.0)
+    slots.assign(12_000.0, 20.0, shares)
     assert len(slots.of(12_000.0, "f1")[1]) >= 8, "an old gap of five seconds holds it up"
-    slots.deal(13_000.0, 0.0, shares)
-    slots.deal(13_000.0, 20.0, {})
+    slots.assign(13_000.0, 0.0, shares)
+    slots.assign(13_000.0, 20.0, {})
     assert slots.of(14_000.0, "f1")[1] == []
 
 
@@ -336,8 +336,8 @@
     return LaneReport("d1", "", demand, 1.0, sent, taken, refused, **told)
 
 
-class Talk:
-    """A planner and forwarders that answer at once."""
+class Exchange:
+    """A planner and forwarders with immediate delivery."""
 
     def __init__(self, *names, planners=("p1",)):
         self.planner = Planner("p1", list(planners))
@@ -354,7 +354,7 @@
         return answer.grants
 
     def find_limit(self, per_s=20.0):
-        """All press until the planner knows."""
+        """Reports overload until the planner has an estimate."""
         for _ in range(8):
             self.now += 250.0
             for name in self.held:
@@ -365,110 +365,112 @@
         return sum(guidance.bound(self.now, "d1") for guidance in self.held.values())
 
 
-def test_until_a_limit_shows_nobody_is_bound():
-    talk = Talk("f1")
-    assert [told.per_s for told in talk.report("f1", sent=10.0, taken=10.0)] == [-1.0]
-    assert talk.total() == math.inf
+def test_without_an_estimate_nobody_is_limited():
+    exchange = Exchange("f1")
+    assert [told.per_s for told in exchange.report("f1", sent=10.0, taken=10.0)] == [-1.0]
+    assert exchange.total() == math.inf
 
 
-def test_grants_add_up_to_what_the_planner_knows():
-    talk = Talk("f1", "f2", "f3")
-    talk.find_limit(20.0)
+def test_grants_add_up_to_the_estimated_limit():
+    exchange = Exchange("f1", "f2", "f3")
+    exchange.find_limit(20.0)
     for _ in range(12):
-        talk.now += 250.0
-        for name in talk.held:
-            talk.report(name)
-        assert talk.total() <= talk.planner.lanes["d1"].limit.per_s * 1.001
-    assert talk.total() == pytest.approx(talk.planner.lanes["d1"].limit.per_s)
+        exchange.now += 250.0
+        for name in exchange.held:
+            exchange.report(name)
+        assert exchange.total() <= exchange.planner.lanes["d1"].limit.per_s * 1.001
+    assert exchange.total() == pytest.approx(exchange.planner.lanes["d1"].limit.per_s)
 
 
-def test_where_the_limit_is_needed_calls_go_at_moments_and_elsewhere_several_at_once():
-    talk = Talk("f1", "f2")
-    talk.find_limit(20.0)
+def test_busy_lanes_have_slots_and_idle_lanes_have_bursts():
+    exchange = Exchange("f1", "f2")
+    exchange.find_limit(20.0)
     for _ in range(12):
-        talk.now += 250.0
-        crowded = [talk.report(name)[0] for name in talk.held]
+        exchange.now += 250.0
+        crowded = [exchange.report(name)[0] for name in exchange.held]
     assert all(grant.slots_ms == AHEAD_MS and grant.slots and grant.burst < 2 for grant in crowded)
     assert sum(len(grant.slots) for grant in crowded) == pytest.approx(AHEAD_MS / 1000 * 20.0, rel=0.3)
     for _ in range(4):
-        talk.now += 250.0
-        idle = [talk.report(name, demand=2.0)[0] for name in talk.held]
+        exchange.now += 250.0
+        idle = [exchange.report(name, demand=2.0)[0] for name in exchange.held]
     assert not any(grant.slots or grant.slots_ms for grant in idle) and min(g.burst for g in idle) > 4.0
-    talk.planner.lanes["d1"].limit.per_s = 2.0 * DEALT_PER_S
-    talk.now += 250.0
-    assert not talk.report("f1", demand=1000.0)[0].slots, "a long list where chance evens out by itself"
+    exchange.planner.lanes["d1"].limit.per_s = 2.0 * MAX_SLOTTED_PER_S
+    exchange.now += 250.0
+    assert not exchange.report("f1", demand=1000.0)[0].slots, "a long list where chance evens out by itself"
 
 
-def test_a_planner_that_takes_a_lane_over_lets_nobody_send_several_at_once():
-    # Guards against ten bursts at once when a planner dies: the next one does not know yet what is needed.
-    talk = Talk("f1", "f2")
-    talk.find_limit(20.0)
-    talk.planner = Planner("p1", ["p1"])
-    (grant,) = talk.report("f1")
+def test_a_planner_that_takes_over_a_lane_grants_no_bursts():
+    # The successor of a planner does not know the demand yet: ten forwarders must not burst at once.
+    exchange = Exchange("f1", "f2")
+    exchange.find_limit(20.0)
+    exchange.planner = Planner("p1", ["p1"])
+    (grant,) = exchange.report("f1")
     assert grant.per_s > 0 and not grant.slots and grant.burst < 2.0
 
 
-def test_an_outcome_counts_also_where_it_comes_in_a_later_report_than_its_call():
-    talk = Talk("f1")
-    talk.report("f1", sent=10.0)
-    talk.now += 250.0
-    talk.report("f1", taken=6.0, refused=4.0)
-    counts = talk.planner.lanes["d1"].limit.counts
+def test_an_outcome_in_a_later_report_than_its_call_counts():
+    exchange = Exchange("f1")
+    exchange.report("f1", sent=10.0)
+    exchange.now += 250.0
+    exchange.report("f1", taken=6.0, refused=4.0)
+    counts = exchange.planner.lanes["d1"].limit.counts
     assert (counts.sent, counts.taken, counts.refused) == (10.0, 6.0, 4.0)
-    talk.now += 250.0
-    talk.report("f1", taken=50.0, refused=50.0)
+    exchange.now += 250.0
+    exchange.report("f1", taken=50.0, refused=50.0)
     assert (counts.taken, counts.refused) == (6.0, 4.0), "outcomes of calls that never were"
 
 
-def test_a_forwarder_that_dies_keeps_its_share_until_it_lapses_and_then_it_is_dealt_again():
-    talk = Talk("f1", "f2")
-    talk.find_limit(20.0)
+def test_the_share_of_a_dead_forwarder_is_reassigned_after_its_grant_expires():
+    exchange = Exchange("f1", "f2")
+    exchange.find_limit(20.0)
     for _ in range(8):
-        talk.now += 250.0
-        talk.report("f1")
-        talk.report("f2")
-    limit = talk.planner.lanes["d1"].limit.per_s
-    died, share = talk.now, talk.held["f2"].bound(talk.now, "d1")
+        exchange.now += 250.0
+        exchange.report("f1")
+        exchange.report("f2")
+    limit = exchange.planner.lanes["d1"].limit.per_s
+    died, share = exchange.now, exchange.held["f2"].bound(exchange.now, "d1")
     assert share > 0.4 * limit
-    while talk.now < died + LEASE_MS + SAFE_MS + 2000.0:
-        talk.now += 250.0
-        talk.report("f1")
-        mine = talk.held["f1"].bound(talk.now, "d1")
-        if talk.now < died + LEASE_MS:
+    while exchange.now < died + LEASE_MS + SAFE_MS + 2000.0:
+        exchange.now += 250.0
+        exchange.report("f1")
+        mine = exchange.held["f1"].bound(exchange.now, "d1")
+        if exchange.now < died + LEASE_MS:
             assert mine <= limit - share + 1e-6
-        elif talk.now < died + LEASE_MS + SAFE_MS:
+        elif exchange.now < died + LEASE_MS + SAFE_MS:
             assert mine <= limit - SAFE_SHARE * share + 1e-6
     assert mine == pytest.approx(limit)
 
 
-def test_a_planner_that_begins_empty_only_confirms_what_is_held():
-    talk = Talk("f1", "f2")
-    talk.find_limit(20.0)
+def test_a_restarted_planner_only_confirms_held_grants_while_learning():
+    exchange = Exchange("f1", "f2")
+    exchange.find_limit(20.0)
     for _ in range(8):
-        talk.now += 250.0
-        talk.report("f1", demand=100.0)
-        talk.report("f2", demand=1.0)
-    before = {name: guidance.bound(talk.now, "d1") for name, guidance in talk.held.items()}
-    began = talk.now
-    talk.planner = Planner("p1", ["p1"])
-    while talk.now < began + LEARNING_MS - 500.0:
-        talk.now += 250.0
-        talk.report("f1", demand=100.0)
-        talk.report("f2", demand=100.0)
-        for name, guidance in talk.held.items():
-            assert guidance.bound(talk.now, "d1") <= before[name] * 1.001
-    term = talk.held["f1"].lanes["d1"].term
+        exchange.now += 250.0
+        exchange.report("f1", demand=100.0)
+        exchange.report("f2", demand=1.0)
+    before = {name: guidance.bound(exchange.now, "d1") for name, guidance in exchange.held.items()}
+    began = exchange.now
+    exchange.planner = Planner("p1", ["p1"])
+    while exchange.now < began + LEARNING_MS - 500.0:
+        exchange.now += 250.0
+        exchange.report("f1", demand=100.0)
+        exchange.report("f2", demand=100.0)
+        for name, guidance in exchange.held.items():
+            assert guidance.bound(exchange.now, "d1") <= before[name] * 1.001
+    term = exchange.held["f1"].lanes["d1"].term
     assert term >= 2, "its term fences the planner before it"
-    talk.now += 3000.0
+    exchange.now += 3000.0
     for _ in range(8):
-        talk.now += 250.0
-        talk.report("f1", demand=100.0)
-        talk.report("f2", demand=100.0)
-    assert talk.held["f2"].bound(talk.now, "d1") > before["f2"], "after its learning time it deals anew"
+        exchange.now += 250.0
+        exchange.report("f1", demand=100.0)
+        exchange.report("f2", demand=100.0)
+    assert exchange.held["f2"].bound(exchange.now, "d1") > before["f2"], (
+        "after its learning time it deals anew"
+    )
 
 
-def test_two_planners_that_both_plan_a_lane_are_harmless_and_one_gives_way():
-    # Each hears only some: both think that they are the only one. The later term is heeded by all.
+def test_two_owners_of_a_lane_stay_within_the_limit_and_one_yields():
+    # A partition makes both planners consider themselves alone; the later term wins everywhere.
     first, second = Planner("p1", ["p1", "p2"]), Planner("p2", ["p1", "p2"])
     guidance = Guidance()
     for planner in (first, second):
@@ -483,7 +485,7 @@
             known = [p.lanes["d1"].limit.per_s for p in (first, second) if "d1" in p.lanes]
             if now > 3000.0:
                 assert guidance.bound(now, "d1") <= max(known) * 1.001
-    # Once forwarders hear both, the one that rendezvous names goes on and the other is silent.
+    # Once forwarders hear both, only the owner by rendezvous hashing goes on granting.
     for step in range(20, 40):
         now = step * 250.0
         answers = {}
@@ -509,73 +511,73 @@
 
 
 @pytest.mark.parametrize("told", NONSENSE)
-def test_nonsense_is_left_out_and_hurts_only_who_tells_it(told):
-    talk = Talk("f1", "f2")
-    talk.find_limit(20.0)
+def test_invalid_rows_are_ignored_and_affect_only_their_forwarder(told):
+    exchange = Exchange("f1", "f2")
+    exchange.find_limit(20.0)
     row = lane()
     for key, value in told.items():
         setattr(row, key, value)
-    answer = talk.planner.handle(talk.now, Report("f2", 99, 250.0, ["p1"], [row]))
-    assert answer.grants == [] and talk.planner.ignored_rows == 1
-    assert [told.per_s > 0 for told in talk.report("f1")] == [True]
+    answer = exchange.planner.handle(exchange.now, Report("f2", 99, 250.0, ["p1"], [row]))
+    assert answer.grants == [] and exchange.planner.ignored_rows == 1
+    assert [told.per_s > 0 for told in exchange.report("f1")] == [True]
 
 
-def test_a_lie_of_ten_times_hurts_only_the_liar():
-    honest, lied = Talk("f1", "f2", "f3"), Talk("f1", "f2", "f3")
-    for talk in (honest, lied):
-        talk.find_limit(30.0)
+def test_tenfold_false_counts_affect_only_their_forwarder():
+    honest, lied = Exchange("f1", "f2", "f3"), Exchange("f1", "f2", "f3")
+    for exchange in (honest, lied):
+        exchange.find_limit(30.0)
         for _ in range(40):
-            talk.now += 250.0
+            exchange.now += 250.0
             for name in ("f1", "f2"):
-                talk.report(name, sent=2.5, taken=2.5)
-            lie = 10.0 if talk is lied else 1.0
-            talk.report("f3", demand=50.0 * lie, sent=2.5 * lie, taken=2.5 * lie)
+                exchange.report(name, sent=2.5, taken=2.5)
+            lie = 10.0 if exchange is lied else 1.0
+            exchange.report("f3", demand=50.0 * lie, sent=2.5 * lie, taken=2.5 * lie)
     for name in ("f1", "f2"):
         assert lied.held[name].bound(lied.now, "d1") >= 0.9 * honest.held[name].bound(honest.now, "d1")
 
 
-def test_a_partner_that_one_forwarder_knows_is_all_its_own():
-    talk = Talk("f1", "f2")
+def test_the_only_forwarder_of_a_lane_gets_the_whole_limit():
+    exchange = Exchange("f1", "f2")
     for _ in range(8):
-        talk.now += 250.0
-        talk.report("f1", sent=10.0, taken=5.0, refused=5.0)
-        talk.planner.handle(talk.now, Report("f2", 1, 250.0, ["p1"], []))
-    limit = talk.planner.lanes["d1"].limit.per_s
-    assert limit < math.inf and talk.held["f1"].bound(talk.now, "d1") == pytest.approx(limit)
+        exchange.now += 250.0
+        exchange.report("f1", sent=10.0, taken=5.0, refused=5.0)
+        exchange.planner.handle(exchange.now, Report("f2", 1, 250.0, ["p1"], []))
+    limit = exchange.planner.lanes["d1"].limit.per_s
+    assert limit < math.inf and exchange.held["f1"].bound(exchange.now, "d1") == pytest.approx(limit)
 
 
-def test_a_wait_that_one_was_told_is_made_known_to_all():
-    talk = Talk("f1", "f2")
-    talk.find_limit(20.0)
-    talk.report("f1", refused=1.0, sent=1.0, wait_ms=700.0)
-    talk.now += 100.0
-    assert [told.wait_ms for told in talk.report("f2")] == [600.0]
+def test_a_requested_wait_is_passed_on_to_all_forwarders():
+    exchange = Exchange("f1", "f2")
+    exchange.find_limit(20.0)
+    exchange.report("f1", refused=1.0, sent=1.0, wait_ms=700.0)
+    exchange.now += 100.0
+    assert [told.wait_ms for told in exchange.report("f2")] == [600.0]
 
 
-def test_a_cold_lane_comes_back_slowly_for_all_together():
-    talk = Talk(*(f"f{n}" for n in range(10)))
-    talk.find_limit(40.0)
-    limit = talk.planner.lanes["d1"].limit.per_s
+def test_a_cold_lane_recovers_slowly_in_total():
+    exchange = Exchange(*(f"f{n}" for n in range(10)))
+    exchange.find_limit(40.0)
+    limit = exchange.planner.lanes["d1"].limit.per_s
     for _ in range(12):
-        talk.now += 250.0
-        for name in talk.held:
-            talk.report(name, cold=True)
-    assert talk.total() <= 0.6 * 2.0 * 0.2 * limit * 1.001, (
+        exchange.now += 250.0
+        for name in exchange.held:
+            exchange.report(name, cold=True)
+    assert exchange.total() <= 0.6 * 2.0 * 0.2 * limit * 1.001, (
         "ten that each think themselves careful push it over"
     )
-    talk.report("f0", cold=True, sent=1.0, taken=1.0)
+    exchange.report("f0", cold=True, sent=1.0, taken=1.0)
     totals = []
     for step in range(60):
-        talk.now += 250.0
-        for name in talk.held:
-            talk.report(name, cold=step < 36)
-        totals.append(talk.total())
+        exchange.now += 250.0
+        for name in exchange.held:
+            exchange.report(name, cold=step < 36)
+        totals.append(exchange.total())
     assert (
         totals == sorted(totals) and totals[4] < 0.5 * limit and totals[-1] == pytest.approx(limit, rel=0.06)
     )
 
 
-def test_routes_apart_are_not_everybodys_first():
+def test_preferred_routes_are_spread_over_separate_routes():
     planner, firsts = Planner("p1", ["p1"]), []
     for n in range(60):
         rows = [LaneReport(f"e{route}", "d1", 5.0, 1.0) for route in ("a", "b", "c")]
@@ -585,7 +587,7 @@
     assert len(firsts) == 60 and all(firsts.count(f"e{route}") > 8 for route in ("a", "b", "c"))
 
 
-def test_made_up_lanes_do_not_fill_the_planner(monkeypatch):
+def test_the_number_of_lanes_is_bounded(monkeypatch):
     monkeypatch.setattr(planner_module, "MAX_LANES", 50)
     planner = Planner("p1", ["p1"])
     rows = [LaneReport(f"d{n}", "", 1.0) for n in range(80)]
@@ -593,17 +595,21 @@
     assert len(planner.lanes) == 50 and planner.ignored_rows == 30
 
 
-def test_lanes_and_forwarders_that_are_gone_are_forgotten():
-    talk = Talk("f1")
-    talk.find_limit(20.0)
-    talk.planner.handle(talk.now + 200_000.0, Report("f9", 1, 250.0, ["p1"], []))
-    assert not talk.planner.lanes and not talk.planner.groups and set(talk.planner.forwarders) == {"f9"}
+def test_lanes_and_forwarders_without_reports_are_removed():
+    exchange = Exchange("f1")
+    exchange.find_limit(20.0)
+    exchange.planner.handle(exchange.now + 200_000.0, Report("f9", 1, 250.0, ["p1"], []))
+    assert (
+        not exchange.planner.lanes
+        and not exchange.planner.groups
+        and set(exchange.planner.forwarders) == {"f9"}
+    )
 
 
 # Counts
 
 
-def test_counts_become_a_report_and_begin_anew():
+def test_counts_are_reported_and_reset():
     counts = LaneCounts([1.0, 2.0])
     counts.place("e1", 7, apart=False)
     counts.place("e2", 8, apart=True)
@@ -626,7 +632,7 @@
 
 
 def served(harness, span, every=20.0):
-    """Messages that went in that time, while each is answered at once and more wait."""
+    """Messages sent within `span` ms, with immediate answers and a constant backlog."""
     before = sum(len(sent) for sent in harness.sent.values())
     stop, number = harness.now + span, 1000 * (1 + len(harness.taken))
     while harness.now < stop:
@@ -639,7 +645,7 @@
     return sum(len(sent) for sent in harness.sent.values()) - before
 
 
-def test_the_module_keeps_to_the_lower_of_what_it_is_allowed_and_what_it_learned():
+def test_the_lower_of_allowance_and_learned_limit_applies():
     harness = DispatcherHarness(Entry("e1", 1))
     free = served(harness, 4000.0)
     harness.feed(SendAllowance(1, 5.0, for_ms=4100.0))
@@ -650,7 +656,7 @@
 
 
 def goes(harness, until, every=10.0):
-    """Times at which calls go, while each is answered at once and more wait."""
+    """Times of calls, with immediate answers and a constant backlog."""
     times, number = [], 1000 * (1 + len(harness.taken))
     while harness.now < until:
         before = sum(len(sent) for sent in harness.sent.values())
@@ -664,7 +670,7 @@
     return times
 
 
-def test_calls_go_at_the_moments_that_were_told_each_once():
+def test_calls_go_at_their_slots_each_used_once():
     harness = DispatcherHarness(Entry("e1", 1))
     start = harness.now
     moments = (100.0, 350.0, 600.0)
@@ -676,7 +682,7 @@
     assert len(goes(harness, start + 1400.0)) in (2, 3), "past the last of them the rate holds"
 
 
-def test_one_moment_that_was_missed_may_be_used_late_but_not_those_within_a_wait():
+def test_one_missed_slot_may_be_used_late_but_none_within_a_wait():
     harness = DispatcherHarness(Entry("e1", 1))
     harness.feed(
         SendAllowance(1, 10.0, for_ms=2000.0, slots_ms=900.0, slot=1, slots=(50.0, 150.0, 250.0, 800.0))
@@ -692,7 +698,7 @@
 
 
 @pytest.mark.parametrize("guided", [True, False])
-def test_in_a_crowd_that_a_planner_tells_of_the_worthier_goes_first_and_as_before_without(guided):
+def test_on_a_slotted_lane_the_message_of_higher_worth_goes_first(guided):
     # A payment has more time, so alone a dispatcher sends notices that are nearly late before it. Where more
     # is held than can go in time, that spends what can go on what is worth less.
     harness = DispatcherHarness(Entry("e1", 1))
@@ -709,7 +715,7 @@
     assert (next(iter(harness.sent)) == 11) is guided
 
 
-def test_an_allowance_of_nothing_holds_until_it_runs_out():
+def test_a_zero_allowance_holds_until_it_expires():
     harness = DispatcherHarness(Entry("e1", 1))
     harness.feed(SendAllowance(1, 0.0, for_ms=1000.0))
     harness.arrive(1)
@@ -719,7 +725,7 @@
     assert harness.where(1) == ["e1"]
 
 
-def test_a_wait_that_another_was_told_is_heeded():
+def test_a_wait_requested_from_another_forwarder_is_respected():
     harness = DispatcherHarness(Entry("e1", 1))
     harness.feed(SendAllowance(1, 100.0, for_ms=5000.0, wait_ms=800.0))
     harness.arrive(1)
@@ -729,7 +735,7 @@
     assert harness.where(1) == ["e1"]
 
 
-def test_a_handicap_makes_another_route_the_first():
+def test_a_score_penalty_makes_another_route_preferred():
     harness = DispatcherHarness(Entry("w1", 1, kind=1, zone=1), Entry("w2", 1, kind=1, zone=1))
     harness.feed(SendAllowance("w1", 100.0, for_ms=60_000.0, score_penalty=0.06))
     harness.arrive(1)
@@ -746,12 +752,12 @@
         {"per_s": 1.0, "slots": (math.inf,)},
     ],
 )
-def test_an_allowance_that_makes_no_sense_is_refused(told):
+def test_an_invalid_allowance_is_rejected(told):
     with pytest.raises(ValueError, match="allowed: "):
         SendAllowance(1, **told)
 
 
-def test_of_a_lane_that_is_not_known_nothing_is_kept():
+def test_an_allowance_for_an_unknown_lane_is_not_kept():
     harness = DispatcherHarness(Entry("e1", 1))
     harness.feed(SendAllowance(99, 1.0))
     assert 99 not in harness.dispatcher.lanes
@@ -779,19 +785,19 @@
         ),
     ],
 )
-def test_live_grants_stay_within_the_limit_whatever_happens(what, case):
+def test_live_grants_stay_within_the_limit_under_faults(what, case):
     outcome = play(case)
     assert outcome.over <= 0.001, (
         f"{what}: grants passed the limit by {outcome.over:.3f} at {outcome.over_at}"
     )
 
 
-def test_where_a_limit_shrinks_those_that_are_heard_go_down_for_those_that_are_not():
-    # In this one live grants passed a limit that had shrunk by 0.05: f1 may use its safe rate for 5 s.
+def test_after_a_decrease_live_forwarders_make_room_for_silent_ones():
+    # With this seed live grants exceeded a reduced limit by 0.05: f1 may use its safe rate for 5 s.
     assert play(Case(seed=790, lanes=5, seconds=16.0, cuts=5)).over <= 0.001
 
 
-def test_with_all_planners_gone_for_a_while_nearly_all_of_the_limits_stays_in_use(monkeypatch):
+def test_limits_stay_nearly_fully_used_while_all_planners_are_down(monkeypatch):
     # 19 s: planners are gone from 9.5 to 13.5 s.
     case = Case(seed=10, seconds=19.0, blackout_ms=4000.0, lanes=4)
     assert play(case).within == 1.0
@@ -799,20 +805,20 @@
     assert play(case).within == 0.0
 
 
-def test_a_planner_that_forgets_what_it_gave_is_seen(monkeypatch):
-    # The simulation must be able to fail: without the accounts of promises, grants pass the limit.
+def test_the_simulation_detects_a_planner_without_accounting(monkeypatch):
+    # The simulation must be able to fail: without accounting of promised rates, grants exceed the limit.
     monkeypatch.setattr(Planner, "promised_to_others", lambda self, now, lane, forwarder: 0.0)
     assert play(Case(seed=7, cuts=6)).over > 0.05
 
 
-def test_moments_keep_small_limits_better_than_rates_alone(monkeypatch):
+def test_slots_keep_small_limits_better_than_rates_alone(monkeypatch):
     case = Case(seed=3, seconds=30.0, limits=(8.0, 12.0))
     dealt = quantile(play(case).pressure, 0.95)
     monkeypatch.setattr(planner_module, "SLOTTED_DEMAND_RATIO", math.inf)
     assert quantile(play(case).pressure, 0.95) > dealt + 0.03
 
 
-def test_in_calm_the_limits_are_used_and_not_passed_and_all_fare_alike():
+def test_without_faults_limits_are_used_fairly_and_not_exceeded():
     outcome = play(Case(seed=1, seconds=60.0))
     assert quantile(outcome.pressure, 0.95) <= 1.10
     assert sum(outcome.used) / len(outcome.used) >= 0.9 and min(map(jain, outcome.shares)) >= 0.95
