--- a/lab/limits.py
+++ b/lab/limits.py
@@ -1,4 +1,4 @@
-"""What a partner takes: limits that it never states, and what an outage leaves of its capacity. No I/O, no
+"""Models of a partner's capacity: unstated rate limits, and reduced capacity after an outage. No I/O, no
 clock; times in milliseconds."""
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 
 @dataclass(slots=True)
 class Limit:
-    """A plain rate (`per_s` calls a second, `burst` at once), or a count in each span of `window_ms`, whose
-    edges lie at an offset that nobody is told. `refused_count`: refused calls use it up as well."""
+    """A token bucket (`per_s` calls per second, `burst` at once), or a fixed window of `window_ms` with edges
+    at an unpublished offset. With `refused_count` refused calls count against the limit too."""
 
     per_s: float = math.inf
     window_ms: float = 0.0
     burst: float = 1.0
     offset_ms: float = 0.0
     refused_count: bool = False
-    full_at: float = -math.inf  # rate: when the bucket will be full again, by its calls so far
+    full_at: float = -math.inf  # token bucket: time at which it is full again without further calls
     span: int = -1
     count: float = 0.0
 
     def admits(self, now: float) -> bool:
-        """Whether a call that comes now is within the limit; it is counted."""
+        """Counts a call and returns whether it is within the limit."""
         if self.per_s == math.inf:
             return True
         return self.admits_window(now) if self.window_ms else self.admits_rate(now)
@@ -46,7 +46,7 @@
         return fits
 
     def opens_in(self, now: float) -> float:
-        """Milliseconds until a call would be admitted, if none came before it."""
+        """Milliseconds until a call is admitted, if there is none before it."""
         if self.window_ms:
             return (self.span + 1) * self.window_ms - self.offset_ms - now
         return max(self.full_at + 1000.0 / self.per_s * (1.0 - self.burst) - now, 1.0)
@@ -54,8 +54,8 @@
 
 @dataclass(slots=True)
 class Health:
-    """A lane that may be in an outage, and comes back cold: more than `fall_multiple` times what it can do,
-    for `fall_ms`, and it falls over and stays down for `down_ms`."""
+    """A lane that is cold after an outage: more than `fall_multiple` times its current capacity during
+    `fall_ms` makes it fail again, for `down_ms`."""
 
     per_s: float
     cold_from: float = 0.2
@@ -72,14 +72,14 @@
         self.calls.clear()
 
     def warmth(self, now: float) -> float:
-        grown = (1.0 - self.cold_from) * (now - self.returned_at) / max(self.warm_ms, 1.0)
-        return min(self.cold_from + grown, 1.0)
+        gained = (1.0 - self.cold_from) * (now - self.returned_at) / max(self.warm_ms, 1.0)
+        return min(self.cold_from + gained, 1.0)
 
     def cold(self, now: float) -> bool:
         return now - self.returned_at < self.warm_ms
 
     def takes(self, now: float) -> bool:
-        """Count a call on a cold lane; False if it is down, or this call has pushed it over."""
+        """Counts a call; False if the lane is down or fails because of this call."""
         if now < self.fell_until:
             return False
         if not self.cold(now):
@@ -87,8 +87,8 @@
         self.calls.append(now)
         while self.calls[0] < now - self.fall_ms:
             self.calls.popleft()
-        most = self.fall_multiple * self.per_s * self.warmth(now) * self.fall_ms / 1000.0
-        if len(self.calls) > most + 2.0:  # a little slack for chance
+        limit = self.fall_multiple * self.per_s * self.warmth(now) * self.fall_ms / 1000.0
+        if len(self.calls) > limit + 2.0:  # tolerance for random clustering
             self.fell_until = now + self.down_ms
             return False
         return True
--- a/tests/test_lab_limits.py
+++ b/tests/test_lab_limits.py
@@ -1,4 +1,4 @@
-"""What stands in for a partner's limits and health is a model with figures, and these are kept."""
+"""The models of a partner's limits and health keep to their parameters."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("refused_count", [False, True])
-def test_a_rate_admits_what_it_states_under_pressure(refused_count):
+def test_a_token_bucket_admits_its_rate_under_overload(refused_count):
     limit = Limit(10.0, burst=2.0, refused_count=refused_count)
     passed = admitted(limit, 20.0, 20.0)
     if refused_count:
@@ -19,21 +19,21 @@
         assert 195 <= passed <= 205
 
 
-def test_a_rate_admits_a_little_at_once():
+def test_a_token_bucket_admits_its_burst_at_once():
     limit = Limit(10.0, burst=3.0)
     assert [limit.admits(0.0) for _ in range(5)] == [True, True, True, False, False]
     wait = limit.opens_in(0.0)
     assert not limit.admits(wait - 5.0) and limit.admits(wait + 1.0)
 
 
-def test_a_window_counts_in_spans_whose_edges_nobody_knows():
+def test_a_window_counts_from_its_offset():
     limit = Limit(5.0, window_ms=2000.0, offset_ms=500.0)
     assert sum(limit.admits(float(at)) for at in range(0, 1500, 10)) == 10
     assert limit.opens_in(1490.0) == pytest.approx(10.0)
     assert limit.admits(1500.0), "the next span has begun"
 
 
-def test_what_returns_cold_falls_over_when_it_is_flooded_and_not_when_it_is_not():
+def test_a_cold_lane_fails_again_only_under_overload():
     flooded, spared = Health(10.0, down_ms=5000.0), Health(10.0, down_ms=5000.0)
     for health in (flooded, spared):
         health.returns(1000.0)
