--- a/tests/test_cloudevents.py
+++ b/tests/test_cloudevents.py
@@ -1,4 +1,4 @@
-"""CloudEvents: attributes and their rules, and the three modes over HTTP."""
+"""CloudEvents: validation of attributes, the three HTTP modes, and the mapping to the core."""
 
 import json
 
@@ -26,12 +26,12 @@
 
 
 def headers(**changes):
-    told = {f"ce-{name}": value for name, value in (LEAST | changes).items() if value is not None}
-    return list(told.items())
+    named = {f"ce-{name}": value for name, value in (LEAST | changes).items() if value is not None}
+    return list(named.items())
 
 
-def only(told):
-    mode, (event,) = told
+def only(decoded):
+    mode, (event,) = decoded
     assert isinstance(event, Event), event
     return mode, event
 
@@ -40,20 +40,20 @@
     return only(decode(JSON, json.dumps(LEAST | changes).encode()))[1]
 
 
-def refused(told_headers, body=b"", status=400, attribute=None):
+def refused(headers, body=b"", status=400, attribute=None):
     with pytest.raises(BadEvent) as error:
-        decode(told_headers, body)
+        decode(headers, body)
     assert error.value.status == status and error.value.detail
     if attribute is not None:
         assert error.value.attribute == attribute
     return error.value.detail
 
 
-# The pages' own examples
+# Examples of the specifications
 
 
 def test_the_binary_example_of_the_http_binding():
-    told = [
+    received = [
         ("host", "webhook.example.com"),
         ("ce-specversion", "1.0"),
         ("ce-type", "com.example.someevent"),
@@ -63,7 +63,7 @@
         ("content-type", "application/json; charset=utf-8"),
         ("content-length", "17"),
     ]
-    mode, event = only(decode(told, b'{"wow": "so much"}'))
+    mode, event = only(decode(received, b'{"wow": "so much"}'))
     assert mode == "binary" and event.data == b'{"wow": "so much"}'
     assert event.identity == ("/mycontext/subcontext", "1234-1234-1234")
     assert (
@@ -95,7 +95,7 @@
     ],
 )
 def test_the_examples_of_the_json_format(more, data):
-    told = {
+    common = {
         "specversion": "1.0",
         "type": "com.example.someevent",
         "source": "/mycontext",
@@ -107,7 +107,7 @@
         "unsetextension": None,
     }
     mode, event = only(
-        decode([("content-type", STRUCTURED + "; charset=UTF-8")], json.dumps(told | more).encode())
+        decode([("content-type", STRUCTURED + "; charset=UTF-8")], json.dumps(common | more).encode())
     )
     assert mode == "structured" and event.data == data
     assert event.attributes["comexampleothervalue"] == 5
@@ -208,7 +208,7 @@
     assert sdk_texts(other) == texts(event)
 
 
-# What is no event
+# Malformed events
 
 
 @pytest.mark.parametrize("name", ["id", "source", "specversion", "type"])
@@ -248,7 +248,7 @@
         assert structured(time=time).text("time") == time
 
 
-def test_headers_that_lie_are_refused():
+def test_duplicate_and_malformed_headers_are_refused():
     refused([*headers(), ("ce-id", "2")], attribute="id")
     refused([*headers(), ("content-type", "a/b"), ("content-type", "a/c")], attribute="datacontenttype")
     refused([*headers(), ("ce-datacontenttype", "a/b")], attribute="datacontenttype")
@@ -266,7 +266,7 @@
 @pytest.mark.parametrize(
     "media", ["application/cloudevents+avro", "application/cloudevents", STRUCTURED + "; charset=utf-16"]
 )
-def test_a_form_that_is_not_read_is_a_415(media):
+def test_an_unsupported_format_is_a_415(media):
     refused([("content-type", media)], json.dumps(LEAST).encode(), status=415)
 
 
@@ -275,7 +275,7 @@
     refused(JSON, body)
 
 
-def test_data_that_is_there_twice_or_no_base64_is_refused():
+def test_two_data_members_or_malformed_base64_are_refused():
     refused(JSON, json.dumps(LEAST | {"data": 1, "data_base64": "AA=="}).encode(), attribute="data_base64")
     for wrong in ("A", "A===", "\u20ac", "AA==\n", 7):
         refused(JSON, json.dumps(LEAST | {"data_base64": wrong}).encode(), attribute="data_base64")
@@ -297,7 +297,7 @@
     refused([("content-type", BATCH)], b"[" + bytes(2_000_000), status=413)
 
 
-def test_in_a_batch_one_bad_event_does_not_spoil_the_others():
+def test_a_malformed_event_does_not_affect_the_rest_of_its_batch():
     rows = [LEAST, LEAST | {"id": ""}, 7, LEAST | {"id": "4"}]
     _, found = decode([("content-type", BATCH)], json.dumps(rows).encode())
     assert [isinstance(event, Event) for event in found] == [True, False, False, True]
@@ -305,7 +305,7 @@
     refused([("content-type", BATCH)], json.dumps(LEAST).encode())
 
 
-# What an event means to the core
+# Mapping to the core
 
 NOW = 1_796_122_800.0  # 2026-12-01T11:00:00Z
 RULES = Rules(
@@ -315,41 +315,45 @@
 )
 
 
-def put(rules=RULES, **changes):
+def place(rules=RULES, **changes):
     return place_event(structured(**({"type": "etna.payment-order", "subject": "7"} | changes)), rules, NOW)
 
 
-def test_an_event_is_placed_by_its_type_and_subject():
-    told = put()
-    assert (told.cls, told.destination, told.left_ms, told.key) == ("pay", 7, 8_000.0, 0)
-    assert put(type="etna.balance.update").cls == "balance", "the longest beginning counts"
-    assert (put(type="etna.other").cls, put(type="etna.other").left_ms) == ("note", 2_000.0)
+def test_type_and_subject_select_class_and_destination():
+    placed = place()
+    assert (placed.cls, placed.destination, placed.left_ms, placed.key) == ("pay", 7, 8_000.0, 0)
+    assert place(type="etna.balance.update").cls == "balance", "the longest prefix counts"
+    assert (place(type="etna.other").cls, place(type="etna.other").left_ms) == ("note", 2_000.0)
     named = Rules(RULES.classes, RULES.max_deadline_ms, "bank", {"of-etna": 2})
-    assert put(named, bank="of-etna").destination == 2
+    assert place(named, bank="of-etna").destination == 2
 
 
 def test_the_same_source_and_id_are_the_same_event_and_others_are_not():
-    assert put().id == put(subject="8").id and len(put().id) == 32
+    assert place().id == place(subject="8").id and len(place().id) == 32
     ids = {
-        put(source=source, id=name).id
+        place(source=source, id=name).id
         for source, name in (("/a", "1"), ("/a", "2"), ("/b", "1"), ("/a/", "1"))
     }
     assert len(ids) == 4
 
 
-def test_the_deadline_is_the_events_own_but_no_longer_than_its_class_has():
-    assert put(expirytime="2026-12-01T11:00:03Z").left_ms == pytest.approx(3_000.0)
-    assert put(expirytime="2026-12-01T12:00:01.5000000001+01:00").left_ms == pytest.approx(1_500.0)
-    assert put(expirytime="2027-01-01T00:00:00Z").left_ms == 8_000.0
+def test_the_deadline_of_an_event_is_capped_by_that_of_its_class():
+    assert place(expirytime="2026-12-01T11:00:03Z").left_ms == pytest.approx(3_000.0)
+    assert place(expirytime="2026-12-01T12:00:01.5000000001+01:00").left_ms == pytest.approx(1_500.0)
+    assert place(expirytime="2027-01-01T00:00:00Z").left_ms == 8_000.0
     for passed in ("2026-12-01T11:00:00Z", "2020-01-01T00:00:00Z"):
         with pytest.raises(BadEvent, match="has passed") as error:
-            put(expirytime=passed)
+            place(expirytime=passed)
         assert error.value.attribute == "expirytime"
 
 
-def test_a_partition_key_is_the_key_of_order():
-    keys = {put(partitionkey=key).key for key in ("a", "b", "c")}
-    assert len(keys) == 3 and 0 not in keys and put(partitionkey="a").key == put(id="9", partitionkey="a").key
+def test_the_partition_key_gives_the_ordering_key():
+    keys = {place(partitionkey=key).key for key in ("a", "b", "c")}
+    assert (
+        len(keys) == 3
+        and 0 not in keys
+        and place(partitionkey="a").key == place(id="9", partitionkey="a").key
+    )
 
 
 @pytest.mark.parametrize(
@@ -362,10 +366,10 @@
         ({"subject": "\u0667"}, "subject"),
     ],
 )
-def test_an_event_that_cannot_be_placed_names_the_attribute(changes, attribute):
+def test_an_event_that_cannot_be_mapped_names_the_attribute(changes, attribute):
     with pytest.raises(BadEvent) as error:
-        put(**changes)
+        place(**changes)
     assert error.value.attribute == attribute
     named = Rules(RULES.classes, RULES.max_deadline_ms, "bank", {"of-etna": 2})
     with pytest.raises(BadEvent, match="bank: unknown destination 'of-catania'"):
-        put(named, bank="of-catania")
+        place(named, bank="of-catania")
