--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership without sockets: the table, the rules of detection, storms, the small model and its checker."""
+"""Membership without sockets: table, failure detection, randomized faults, model exploration, the checker."""
 
 import random
 from dataclasses import replace
@@ -28,9 +28,9 @@
     return Row(name, "h", port, "a", incarnation, process or port, state, tuple(by))
 
 
-def member(name="a", others=("b", "c", "d"), **told):
-    """A detector that has met the others, at 0 s."""
-    tuning = Tuning(**({"fleet": 1 + len(others)} | told))
+def member(name="a", others=("b", "c", "d"), **tuning_options):
+    """A detector that knows the other members, at 0 s."""
+    tuning = Tuning(**({"fleet": 1 + len(others)} | tuning_options))
     detector = Detector(row(name), tuning, random.Random(1), 0.0)
     detector.merge(0.0, [row(other) for other in others])
     detector.table.settled = True
@@ -42,7 +42,7 @@
 
 
 class Net:
-    """Plays the others: each answers pings unless it is silent; relays answer for those who are not dead."""
+    """Simulates the other members: `silent` ones drop direct pings only, `dead` ones drop everything."""
 
     def __init__(self, detector, silent=(), dead=()):
         self.detector, self.silent, self.dead, self.now = detector, set(silent), set(dead), 0.0
@@ -107,30 +107,30 @@
     assert table.own.incarnation == 8 and table.own.state == ALIVE
     table.merge(row("b", 3), 1.0)
     table.hold("b", State.GONE, 2.0)
-    assert table.merge(row("b", 3), 3.0) is Merged.NOTHING, "nobody is brought back by an old word"
+    assert table.merge(row("b", 3), 3.0) is Merged.NOTHING, "an old row does not revive a member"
     assert table.merge(row("b", 4), 3.0) is Merged.CHANGED and table.records["b"].state == State.ALIVE
 
 
-def test_a_restart_under_the_same_name_needs_no_disk_and_a_clock_that_went_back_is_no_harm():
+def test_a_restarted_process_refutes_the_higher_incarnation_of_its_predecessor():
     table = Table(row("a", 3, process=77), 0.0, 3)  # the process before had incarnation 9
     assert table.merge(row("a", 9, GONE, process=5), 0.1) is Merged.REFUTED
     assert table.own.incarnation == 10 and table.own.process == 77
 
 
-def test_of_two_processes_with_one_name_the_newer_is_held_and_both_say_so():
+def test_of_two_processes_with_one_name_the_newer_wins_and_both_warn():
     old, new = member("a"), member("a")
     newer = row("a", 9, process=9000)
     new.table.set_own(newer, 0.0)
     new.table.process = 9000
-    told = old.receive(1.0, Ping(newer, 1, 0))
-    assert [w for w in told if isinstance(w, Warn) and "newer" in w.text] and old.table.displaced
-    told = new.receive(1.0, Ping(row("a"), 1, 0))
-    assert [w for w in told if isinstance(w, Warn)] and not new.table.displaced
-    assert not sends(old.receive(1.0, Ping(row("b"), 1, 0))), "it takes no part"
+    outputs = old.receive(1.0, Ping(newer, 1, 0))
+    assert [w for w in outputs if isinstance(w, Warn) and "newer" in w.text] and old.table.displaced
+    outputs = new.receive(1.0, Ping(row("a"), 1, 0))
+    assert [w for w in outputs if isinstance(w, Warn)] and not new.table.displaced
+    assert not sends(old.receive(1.0, Ping(row("b"), 1, 0))), "a displaced process does not answer"
     asked = [send for n in range(80) for send in sends(old.tick(1.1 + n / 10.0), Ping)]
     to_newer = [send for send in asked if send.process == newer.process]
-    assert 1 <= len(asked) - len(to_newer) <= 2, "but asks now and then whether the other is there"
-    assert 1 <= len(to_newer) <= 2, "and lets it hear that it has a namesake"
+    assert 1 <= len(asked) - len(to_newer) <= 2, "but checks at intervals whether the other still exists"
+    assert 1 <= len(to_newer) <= 2, "and lets it detect the conflict"
     old.receive(10.0, Ack(row("b"), asked[0].message.seq, 0, (newer._replace(state=GONE),)))
     assert not old.table.displaced and old.table.own.incarnation == 10
 
@@ -138,36 +138,36 @@
 # Detection
 
 
-def test_one_that_answers_nobody_is_suspected_and_gone_with_witnesses():
+def test_an_unresponsive_member_is_suspected_and_with_witnesses_declared_gone():
     detector = member()
     net = Net(detector, dead={"b"})
     net.run(2.0)
-    assert net.state("b") == State.SUSPECT and net.asked, "others are asked first"
+    assert net.state("b") == State.SUSPECT and net.asked, "relays are asked first"
     detector.receive(net.now, Ack(row("c"), 0, 0, (row("b", 5, SUSPECT, by=("c", "d")),)))
     net.run(2.0)
     assert net.state("b") == State.GONE
 
 
-def test_nobody_is_held_gone_on_one_word_where_others_could_be_asked():
+def test_no_member_is_declared_gone_without_witnesses_while_others_are_reachable():
     detector = member()
     net = Net(detector, dead={"b"})
     net.run(60.0)
     assert net.state("b") == State.SUSPECT
 
 
-def test_a_suspicion_that_is_overdue_is_told_again():
-    # Its first words may all have been lost, and suspicions are in no digest: nothing else would tell.
+def test_an_overdue_suspicion_is_gossiped_again():
+    # Its first gossip may be lost, and digests do not cover suspicions, so nothing else would repair that.
     detector = member()
     net = Net(detector, dead={"b"})
     net.run(20.0)
-    told = 0
+    gossiped = 0
     for _ in range(50):
         net.run(0.1)
-        told += ("row", "b") in detector.rumours
-    assert net.state("b") == State.SUSPECT and told > 10
+        gossiped += ("row", "b") in detector.rumours
+    assert net.state("b") == State.SUSPECT and gossiped > 10
 
 
-def test_a_pair_that_cannot_talk_is_a_fact_of_its_own_and_no_death():
+def test_a_broken_direct_path_is_reported_as_one_way_and_raises_no_suspicion():
     detector = member()
     net = Net(detector, silent={"b"})
     net.run(30.0)
@@ -180,7 +180,7 @@
     }
 
 
-def test_who_hears_nobody_gives_no_verdict_and_counts_itself_alone():
+def test_an_isolated_member_gives_no_verdict_and_counts_itself_alone():
     detector = member()
     net = Net(detector)
     net.run(20.0)
@@ -188,12 +188,12 @@
     net.dead = {"b", "c", "d"}
     net.run(60.0)
     assert not detector.counts.burials and detector.alone(net.now)
-    told = detector.bounds(net.now)
-    assert (told.least, told.most, told.leased) == (1, 4, True), "others count it still"
+    bounds = detector.bounds(net.now)
+    assert (bounds.least, bounds.most, bounds.leased) == (1, 4, True), "others still count it"
     assert all(seen.state >= State.SUSPECT for seen in detector.members(net.now) if seen.name != "a")
 
 
-def test_who_stood_still_judges_nobody_by_it_and_doubts_itself():
+def test_a_paused_member_suspects_nobody_and_lowers_its_local_health():
     detector = member()
     net = Net(detector)
     net.run(5.0)
@@ -203,12 +203,12 @@
     net.pass_on(detector.tick(net.now))
     assert detector.counts.pauses == 1 and detector.ill > 0
     assert all(net.state(name) == State.ALIVE for name in "bcd")
-    assert detector.bounds(net.now).least < 4, "it has not heard of them since"
+    assert detector.bounds(net.now).least < 4, "no answers since the pause"
     net.run(5.0)
     assert detector.bounds(net.now).least == 4 and detector.ill == 0
 
 
-def test_a_suspicion_does_not_run_out_while_its_owner_stands_still():
+def test_a_suspicion_does_not_expire_during_a_pause():
     detector = member()
     net = Net(detector, dead={"b"})
     net.run(2.0)
@@ -218,7 +218,7 @@
     assert detector.table.records["b"].suspected_at >= before + 59.0 and net.state("b") == State.SUSPECT
 
 
-def test_an_answer_counts_by_when_it_was_asked_for():
+def test_an_answer_is_dated_by_the_time_of_its_ping():
     detector = member(others=("b",))
     ping = sends(detector.tick(0.2), Ping)[0].message
     detector.receive(2.0, Ack(row("b"), ping.seq, 0))
@@ -228,22 +228,22 @@
     ping = sends(other.tick(0.2), Ping)[0].message
     for n in range(50):
         other.tick(0.2 + n / 10.0)
-    assert ping.seq not in other.probes, "and not at all after so long"
+    assert ping.seq not in other.probes, "late answers are accepted for LATE_ANSWER_S only"
     other.receive(0.2 + LATE_ANSWER_S + 2.0, Ack(row("b"), ping.seq, 0))
     assert other.table.records["b"].answered_at == float("-inf")
 
 
-def test_a_message_of_another_is_no_sign_of_life_only_an_answer_is():
+def test_only_an_answer_is_a_sign_of_life():
     detector = member()
     detector.receive(3.0, Ping(row("b"), 1, 0))
     assert detector.table.records["b"].answered_at == float("-inf")
 
 
-def test_somebody_who_had_an_answer_vouches_and_the_suspicion_begins_anew():
+def test_an_answer_from_a_suspect_is_vouched_for_and_restarts_the_suspicion():
     detector = member()
     detector.receive(1.0, Ping(row("c"), 1, 0, (row("b", 5, SUSPECT, by=("c", "d")),)))
     record = detector.table.records["b"]
-    assert record.state == State.SUSPECT and "b" in detector.urgent, "it looks for itself"
+    assert record.state == State.SUSPECT and "b" in detector.urgent, "it probes the suspect itself"
     net = Net(detector)
     net.now = 1.0
     net.run(0.5)
@@ -256,21 +256,21 @@
     assert other.table.records["b"].by == set()
     other.receive(1.6, Ping(row("c"), 2, 0, (row("b", 5, SUSPECT, by=("c",)),)))
     other.receive(1.7, Ping(row("a"), 2, 0, (), tuple(vouches)))
-    assert other.table.records["b"].by == {"c"}, "a repeated word counts once"
+    assert other.table.records["b"].by == {"c"}, "a repeated vouch counts once"
 
 
-def test_one_that_is_suspected_hears_so_from_whoever_asks_it_and_refutes():
+def test_a_suspect_learns_of_the_suspicion_by_a_ping_and_refutes_it():
     detector = member()
     detector.receive(1.0, Ping(row("c"), 1, 0, (row("b", 5, SUSPECT, by=("c",)),)))
-    told = [send for n in range(12) for send in sends(detector.tick(1.0 + n / 10.0))]
-    news = [item for send in told if send.to[1] == row("b").port for item in send.message.news]
+    outputs = [send for n in range(12) for send in sends(detector.tick(1.0 + n / 10.0))]
+    news = [item for send in outputs if send.to[1] == row("b").port for item in send.message.news]
     assert any(item.name == "b" and item.state == SUSPECT for item in news)
     suspect = member("b", others=("a", "c", "d"))
     suspect.receive(0.1, Ping(row("c"), 1, 0, (row("b", 5, SUSPECT, by=("c",)),)))
     assert suspect.table.own.incarnation == 6 and suspect.ill == 1
 
 
-def test_sends_that_fail_are_ones_own_illness_and_verdicts_take_longer():
+def test_failed_sends_lower_local_health_and_lengthen_suspicions():
     detector = member()
     for _ in range(20):
         detector.failing()
@@ -279,18 +279,18 @@
     assert slow == pytest.approx(3.0 * quick)
 
 
-def test_seeds_are_tried_until_one_answers_and_one_that_is_no_member_ever_after():
+def test_seeds_are_retried_until_one_answers_and_missing_ones_for_good():
     detector = Detector(row("a"), Tuning(fleet=3), random.Random(1), 0.0)
     detector.join([("h", row("b").port), ("h", row("c").port), ("h", row("a").port)])
     tried = [send.to[1] for n in range(50) for send in sends(detector.tick(n / 10.0))]
     assert set(tried) == {row("b").port, row("c").port} and len(tried) >= 8
-    told = detector.receive(5.0, Ack(row("b"), 1, 12345))
-    assert [o.to for o in told if isinstance(o, Exchange)] == [("h", row("b").port)], "for all that it holds"
+    outputs = detector.receive(5.0, Ack(row("b"), 1, 12345))
+    assert [o.to for o in outputs if isinstance(o, Exchange)] == [("h", row("b").port)], "requests its rows"
     later = [send.to[1] for n in range(300) for send in sends(detector.tick(5.0 + n / 10.0), Ping)]
     assert 3 <= later.count(row("c").port) <= 8
 
 
-def test_the_gone_are_tried_ever_more_rarely():
+def test_gone_members_are_probed_at_growing_intervals():
     detector = member()
     detector.receive(0.0, Ping(row("c"), 1, 0, (row("b", 5, GONE),)))
     port = row("b").port
@@ -299,27 +299,27 @@
     assert tries[0] <= 5.0 and 10 <= len(tries) <= 40 and gaps[-1] >= 25.0
 
 
-def test_a_leave_is_told_and_nothing_follows():
+def test_a_leave_is_announced_and_nothing_is_sent_after_it():
     detector = member()
-    told = sends(detector.leave(1.0), Ping)
-    assert told and all(send.message.me.state == LEFT for send in told)
+    outputs = sends(detector.leave(1.0), Ping)
+    assert outputs and all(send.message.me.state == LEFT for send in outputs)
     assert detector.receive(1.1, Ping(row("b"), 1, 0)) == [] and not sends(detector.tick(5.0))
 
 
-def test_changes_are_damped_for_one_that_flaps():
+def test_changes_of_a_flapping_member_are_damped():
     detector = member()
-    told = []
+    notified = []
     for step in range(1200):
         now, state = step / 10.0, (ALIVE if step // 30 % 2 == 0 else GONE)  # each three seconds
         detector.receive(now, Ping(row("c"), 1, 0, (row("b", 6 + step // 60, state),)))
         detector.tick(now)
-        told += [(now, seen.name, there) for seen, there in detector.changes(now)]
-    of_b = [entry for entry in told if entry[1] == "b"]
-    assert 2 <= len(of_b) <= 8, "forty turns"
+        notified += [(now, seen.name, there) for seen, there in detector.changes(now)]
+    of_b = [entry for entry in notified if entry[1] == "b"]
+    assert 2 <= len(of_b) <= 8, "of forty changes"
     assert [there for _, _, there in of_b[:2]] == [True, False]
 
 
-def test_what_is_passed_on_is_bounded_and_a_kill_goes_before_old_news():
+def test_gossip_is_bounded_and_a_new_failure_goes_first():
     detector = member(others=[f"m{n}" for n in range(300)])
     rows_out = [len(s.message.news) for n in range(100) for s in sends(detector.tick(n / 10.0))]
     assert max(rows_out) <= 9 and sum(rows_out) <= 64 + 16 * 10 + 20
@@ -332,7 +332,7 @@
     assert "m250" in news
 
 
-# Storms: all faults from one seed
+# Storms: all kinds of faults, from one seed
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -344,14 +344,14 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_long_storm_in_which_the_gone_are_given_up_keeps_the_bounds(seed):
+def test_a_long_storm_in_which_gone_members_are_forgotten_keeps_the_bounds(seed):
     world = storm(seed, seconds=120.0, tuning=Tuning(fleet=8, forget_s=60.0))
     broken = [b for b in check(world.history, 8) if b.property in (4, 5)]
     assert not broken, f"storm {seed}: " + "\n".join(map(str, broken[:5]))
 
 
-def test_a_clock_that_jumps_ends_no_wait_before_acting():
-    # Storm 1245: a newcomer's clock leapt over the rest of its wait, and it acted before all counted it.
+def test_a_clock_jump_does_not_shorten_the_wait_for_a_lease():
+    # Storm 1245: a new member's clock jumped over the rest of its wait; it acted before all counted it.
     waits, holds = Lease(), Lease()
     table = member().table
     for record in table.there.values():
@@ -361,10 +361,10 @@
     assert not waits.held(table, 82.0, 600.0, 4.0, 0.5)
     for step in range(70):
         holds.held(table, 50.0 + step / 10.0, 600.0, 4.0, 0.5)
-    assert holds.held(table, 82.0, 600.0, 4.0, 0.5), "others count it through a pause"
+    assert holds.held(table, 82.0, 600.0, 4.0, 0.5), "a held lease survives a pause, others still count it"
 
 
-def test_a_half_acts_on_for_a_while_and_is_counted_all_that_time():
+def test_a_partitioned_half_keeps_its_lease_for_a_while_and_stays_counted():
     world = fleet_that_met(8, 1, buildings=2, tuning=Tuning(fleet=8, forget_s=60.0))
     world.measure()
     world.run(world.now + 8.0)
@@ -376,8 +376,8 @@
     assert not [b for b in check(world.close(), 8) if b.property == 5]
 
 
-def fleet_that_met(size, seed, **told):
-    world = World(size, seed, **told)
+def fleet_that_met(size, seed, **options):
+    world = World(size, seed, **options)
     world.run(12.0)
     assert world.alike(), f"seed {seed}"
     return world
@@ -385,7 +385,7 @@
 
 @pytest.mark.parametrize("loss", (0.0, 0.05, 0.2))
 @pytest.mark.parametrize("kills", (1, 7))
-def test_the_killed_are_found_also_seven_of_ten_at_once_and_with_losses(loss, kills):
+def test_killed_members_are_detected_also_seven_of_ten_and_with_packet_loss(loss, kills):
     for seed in range(4):
         world = fleet_that_met(10, seed)
         world.loss = loss
@@ -395,7 +395,7 @@
         assert not check(world.history, 10), f"seed {seed}"
 
 
-def test_halves_that_bury_each_other_are_one_again_and_no_process_acts_uncounted():
+def test_a_healed_partition_converges_and_no_process_acts_uncounted():
     for seed in range(4):
         world = fleet_that_met(10, seed, buildings=2)
         world.measure()
@@ -422,15 +422,15 @@
     ],
     ids=["one direction of a pair", "a pair", "a ring", "all to one", "one to all"],
 )
-def test_what_is_held_of_a_one_sided_cut_does_not_flap(cut, gone):
+def test_states_under_a_one_sided_cut_do_not_flap(cut, gone):
     for seed in range(3):
         world = fleet_that_met(8, seed)
         world.set_cut(cut)
         world.run(world.now + 8.0)
         settled = world.now
         world.run(world.now + 22.0)
-        told = [h for h in world.history.held if h.at > settled and h.name != h.by]
-        flaps = [h for h in told if h.state != State.SUSPECT]
+        entries = [h for h in world.history.held if h.at > settled and h.name != h.by]
+        flaps = [h for h in entries if h.state != State.SUSPECT]
         assert not [h for h in flaps if h.by != "m0003"], f"seed {seed}: {flaps[:4]}"
         others = [p for p in world.members.values() if p.name != "m0003"]
         held_gone = sum(p.detector.table.records["m0003"].state == State.GONE for p in others)
@@ -440,7 +440,7 @@
         assert not check(world.close(), 8), f"seed {seed}"
 
 
-def test_a_cut_that_flaps_each_second_changes_few_views():
+def test_a_cut_that_flaps_each_second_causes_few_failures():
     for seed in range(3):
         world = fleet_that_met(8, seed)
         world.run(20.0)
@@ -455,7 +455,7 @@
 
 @pytest.mark.parametrize("seconds", (0.7, 1.6, 3.0))
 @pytest.mark.parametrize("size", (5, 20))
-def test_a_burst_in_which_all_is_lost_makes_nobody_suspect_for_long_and_buries_nobody(size, seconds):
+def test_a_burst_of_total_loss_leaves_no_suspicion_and_no_failure(size, seconds):
     for seed in range(3):
         world = fleet_that_met(size, seed)
         before, world.loss = len(world.history.held), 1.0
@@ -466,7 +466,7 @@
         assert not any(p.detector.table.suspects for p in world.members.values()), f"seed {seed}"
 
 
-def test_a_probe_of_which_no_relay_spoke_is_no_news_of_its_member():
+def test_a_probe_without_any_relay_answer_raises_no_suspicion():
     detector = member()
     net = Net(detector, dead={"b", "c", "d"})
     net.run(1.5)
@@ -476,7 +476,7 @@
     assert net.state("b") == State.SUSPECT and detector.ill == 0
 
 
-def test_a_second_ping_is_sent_before_others_are_asked():
+def test_a_second_ping_is_sent_before_relays_are_asked():
     detector = member()
     out = [(n / 20.0, send) for n in range(1, 9) for send in sends(detector.tick(n / 20.0))]
     target = out[0][1].to
@@ -541,19 +541,19 @@
 
 @pytest.mark.parametrize("weaken", ["old words bring back", "no wait before acting"])
 def test_without_a_rule_a_storm_breaks_a_property(weaken, monkeypatch):
-    # The storms must be able to fail: each rule that is taken out shows in some seed.
+    # Shows that the storms can fail: without the rule, some seed violates a property.
     if weaken == "old words bring back":
         monkeypatch.setattr(
             "rushhitch.membership.table.rank", lambda row: (row.state == ALIVE, row.incarnation, row.process)
         )
     else:
-        monkeypatch.setattr("rushhitch.membership.bounds.agreed", lambda *told: True)
+        monkeypatch.setattr("rushhitch.membership.bounds.agreed", lambda *args: True)
         monkeypatch.setattr("rushhitch.membership.bounds.WAIT_WINDOWS", 0.0)
     for seed in range(40):
         world = storm(seed)
         if check(world.history, len(world.ports)):
             return
-    raise AssertionError("forty storms without the rule, and nothing broke")
+    raise AssertionError("forty storms without the rule violated no property")
 
 
 # The small model
@@ -590,7 +590,7 @@
 
 
 class Fleet(Worlds):
-    """Five members under whatever comes; sizes that the explorer cannot reach."""
+    """Five members under random events; a size that the explorer cannot cover."""
 
     world_of = staticmethod(lambda: World(5, 3))
 
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -1,4 +1,4 @@
-"""Members' datagrams and streams: what is forged, replayed, cut off or of another build changes nothing."""
+"""Datagrams and streams between members: forged, replayed, truncated or foreign input is rejected."""
 
 import asyncio
 import struct
@@ -50,7 +50,7 @@
 
 
 def met():
-    """Two that know each other's process."""
+    """Two sessions that know each other's process."""
     a, b = pair()
     a.learn(B, 22)
     b.learn(A, 11)
@@ -58,18 +58,18 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_a_message_comes_as_it_was_sent(message):
+def test_a_message_survives_encoding_and_decoding(message):
     assert decode(encode(message)) == message
     a, b = met()
     assert b.open(a.seal(Send(B, message)), A) == (message, [])
 
 
-def test_a_datagram_with_all_that_may_go_along_is_below_the_limit():
+def test_a_full_datagram_is_below_the_size_limit():
     full = Row("n" * 64, "255.255.255.255", 65_535, "b" * 16, 1 << 60, 1 << 60, 1, ("n" * 16,) * 3)
     assert len(Sessions(11, SECRET).datagram(Kind.DATA, 22, encode(Ping(full, 1, 1, (full,) * 6)))) < 1_300
 
 
-def test_who_is_not_known_is_asked_first_and_what_waited_goes_then():
+def test_messages_to_an_unknown_process_are_queued_until_it_answers():
     a, b = pair()
     who = a.seal(Send(B, MESSAGES[0]))
     assert a.seal(Send(B, MESSAGES[1])) != who
@@ -77,26 +77,26 @@
     assert nothing is None
     _, sent = a.open(here, B)
     assert [b.open(data, A)[0] for data in sent] == MESSAGES[:2]
-    assert b.open(a.seal(Send(B, MESSAGES[2])), A)[0] == MESSAGES[2], "and is known from then on"
+    assert b.open(a.seal(Send(B, MESSAGES[2])), A)[0] == MESSAGES[2], "the process stays known"
     for _ in range(50):
         a.seal(Send(("127.0.0.1", 9), MESSAGES[0]))
     assert len(a.queued["127.0.0.1", 9]) == MAX_QUEUED
 
 
-def test_what_was_recorded_is_nothing_when_it_comes_again_also_after_a_restart_of_either():
+def test_replayed_datagrams_are_dropped_also_after_a_restart_of_either_side():
     a, b = met()
     recorded = [a.seal(Send(B, message)) for message in MESSAGES]
     assert [b.open(data, A)[0] for data in recorded] == MESSAGES
     assert [b.open(data, A)[0] for data in recorded] == [None] * 5 and b.drops[DropReason.OLD] == 5
-    anew = Sessions(33, SECRET)  # the receiver, started anew: its window is empty
+    anew = Sessions(33, SECRET)  # the receiver after a restart: its window is empty
     for data in recorded:
         message, back = anew.open(data, A)
-        assert message is None and len(back) == 1, "it only tells its own number"
-    _, more = Sessions(44, SECRET).open(back[0], B)  # the sender, started anew
+        assert message is None and len(back) == 1, "it only sends its process number"
+    _, more = Sessions(44, SECRET).open(back[0], B)  # the sender after a restart
     assert more == []
 
 
-def test_a_peer_that_began_anew_is_found_by_its_answer():
+def test_the_new_process_of_a_restarted_peer_is_learnt_from_its_answer():
     a, _ = met()
     anew = Sessions(33, SECRET)
     _, back = anew.open(a.seal(Send(B, MESSAGES[0])), A)
@@ -104,7 +104,7 @@
     assert anew.open(a.seal(Send(B, MESSAGES[1])), A)[0] == MESSAGES[1]
 
 
-def test_of_a_flood_of_what_is_forged_nothing_is_taken_and_all_is_counted():
+def test_forged_and_malformed_datagrams_are_dropped_and_counted():
     a, b = met()
     good = a.seal(Send(B, MESSAGES[1]))
     stranger = Sessions(11, b"the secret of another fleet")
@@ -129,7 +129,7 @@
     assert b.open(good, A)[0] == MESSAGES[1]
 
 
-def test_a_well_sealed_datagram_whose_rows_make_no_sense_is_dropped():
+def test_an_authentic_datagram_with_invalid_rows_is_dropped():
     a, b = met()
     wrong = [
         Ping(ROW._replace(port=0), 1, 0),
@@ -165,10 +165,10 @@
             taken.add(number)
 
 
-def test_further_fields_of_a_later_build_are_left_out():
-    told = encode(MESSAGES[0])
-    assert told[0] == 0x96  # an array of six
-    longer = bytes([0x99]) + told[1:] + b"\xc0\xc2\xa3new"
+def test_additional_fields_of_later_versions_are_ignored():
+    encoded = encode(MESSAGES[0])
+    assert encoded[0] == 0x96  # an array of six
+    longer = bytes([0x99]) + encoded[1:] + b"\xc0\xc2\xa3new"
     assert decode(longer) == MESSAGES[0]
 
 
@@ -182,7 +182,7 @@
     return caller, server
 
 
-def test_rows_are_exchanged_whole_and_in_pieces():
+def test_rows_are_exchanged_whole_and_in_fragments():
     caller, server = streams()
     rows = [ROW, OTHER] * 300
     data = caller.sealed(encode_rows(rows))
@@ -193,7 +193,7 @@
     assert decode_rows(caller.receive(server.sealed(encode_rows([ROW])))) == [ROW]
 
 
-def test_a_stream_of_another_fleet_a_reflection_and_an_endless_frame_are_refused():
+def test_streams_reject_other_secrets_reflection_replay_and_oversized_frames():
     caller, server = streams(secret=b"the secret of another fleet")
     with pytest.raises(WireError, match="secrets differ"):
         server.receive(caller.sealed(b"x"))
@@ -217,14 +217,14 @@
         fresh.receive(replayed)
 
 
-def test_without_the_section_nothing_of_it_is_imported():
+def test_without_the_section_no_membership_module_is_imported():
     found = "[name for name in sys.modules if 'membership' in name or 'sharing' in name or name == 'msgspec']"
     code = f"import sys, rushhitch.service; print({found})"
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=30)
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
 
 
-def test_what_is_dropped_is_told_in_one_line_each_ten_seconds_with_the_count(caplog):
+def test_dropped_datagrams_are_logged_once_in_ten_seconds_with_their_count(caplog):
     async def work():
         address = ("127.0.0.1", 7101)
         server = Server(MembershipSettings("a", address, address, (), SECRET), 3)
@@ -250,10 +250,10 @@
 GOOD = f'[membership]\nlisten = "127.0.0.1:7101"\nseeds = {SEEDS}\nsecret_file = "SECRET"\n'
 
 
-def test_the_section_is_read_and_without_it_there_is_none(tmp_path):
-    told = own(tmp_path, GOOD)
-    assert told.listen == told.advertise == ("127.0.0.1", 7101) and len(told.seeds) == 2
-    assert told.secret == SECRET and told.fleet == 0 and told.forget_s == 600.0
+def test_the_membership_section_is_optional(tmp_path):
+    section = own(tmp_path, GOOD)
+    assert section.listen == section.advertise == ("127.0.0.1", 7101) and len(section.seeds) == 2
+    assert section.secret == SECRET and section.fleet == 0 and section.forget_s == 600.0
     assert own(tmp_path, "") is None
 
 
@@ -271,6 +271,6 @@
         (("secret_file", "seed = 3\nsecret_file"), "own.toml:4: seed is no key of .membership."),
     ],
 )
-def test_a_section_that_makes_no_sense_is_told_with_line_and_remedy(tmp_path, change, error):
+def test_an_invalid_section_is_reported_with_line_and_remedy(tmp_path, change, error):
     with pytest.raises(DeploymentError, match=error):
         own(tmp_path, GOOD.replace(*change))
