--- a/rushhitch/control/commands.py
+++ b/rushhitch/control/commands.py
@@ -48,26 +48,26 @@
 def parse(data: bytes) -> Command:
     """Parse a complete line, with or without its newline. Raises `BadCommand`."""
     if len(data) > MAX_LINE_BYTES:
-        raise BadCommand(f"line longer than {MAX_LINE_BYTES} bytes")
+        raise BadCommand(f"a line of more than {MAX_LINE_BYTES} bytes")
     line, end, rest = data.partition(b"\n")
     if rest.strip():
         raise BadCommand("more than one line: send one to a connection")
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
-        raise BadCommand("line is not ASCII text") from None
+        raise BadCommand("bytes that are no text: send ASCII") from None
     expected = ", ".join(TAKES_ID)
     if not words:
-        raise BadCommand(f"empty line: send one of {expected}")
+        raise BadCommand(f"an empty line: send one of {expected}")
     word, arguments = words[0], words[1:]
     if word not in TAKES_ID:
         raise BadCommand(f"unknown word {word[:40]!r}: send one of {expected}")
     if not TAKES_ID[word]:
         if arguments:
-            raise BadCommand(f"{word} takes no argument")
+            raise BadCommand(f"{word} takes nothing after it")
         return Command(word)
     if len(arguments) != 1 or len(arguments[0]) > MAX_ID_CHARS:
-        raise BadCommand(f"{word} takes one endpoint's id, of at most {MAX_ID_CHARS} characters")
+        raise BadCommand(f"{word} takes one endpoint's id of {MAX_ID_CHARS} characters at most")
     return Command(word, arguments[0])
 
 
--- a/rushhitch/control/server.py
+++ b/rushhitch/control/server.py
@@ -55,7 +55,7 @@
             response = self.server.answer(self.data)
         except Exception:
             log.exception("control command failed")
-            response = refusal("internal error, see the log of the dispatcher")
+            response = refusal("an error of the dispatcher: see its log")
         if isinstance(response, bytes):
             self.send(response)
         else:
--- a/rushhitch/service.py
+++ b/rushhitch/service.py
@@ -661,7 +661,7 @@
 
     def ping(self) -> None:
         if not self.ready:
-            raise CommandRefused("not ready: not accepting messages now")
+            raise CommandRefused("not ready: it takes no messages now")
 
     def info(self) -> dict[str, Any]:
         return (
