--- a/rushhitch/core/node.py
+++ b/rushhitch/core/node.py
@@ -120,7 +120,7 @@
         self.cancel_inherited: Callable[[int, int], None] = lambda message, attempt: None  # one of these
         self.abandon_elsewhere: Callable[[int, str], None] = lambda message, why: None  # once relinquished
         self.ahead_s: float | None = None  # steady time minus loop time, see `journal.steady_clock`
-        self.ages_as_of: dict[int, float] = {}  # loop time of the ages in each pending `Arrived`, by message
+        self.ages_as_of: dict[int, float] = {}  # loop time of the ages in a pending `MessageAccepted`
         self.messages: dict[int, Message] = {}
         self.by_id: dict[bytes, Message] = {}
         self.numbers = journal.highest
